--- a/internal/cli/platform_entry.go
+++ b/internal/cli/platform_entry.go
@@ -90,7 +90,7 @@
 	return &platformEntry{
 		follower: follower, upstreams: upstreams, server: server, grace: s.Grace(), log: logger,
 		callers: &http.Server{
-			Handler:           platform.Callers{Server: server, Log: logger},
+			Handler:           platform.IngressHandler{Server: server, Log: logger},
 			ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHead, ConnContext: platform.ConnContext,
 		},
 		ready:   &http.Server{Handler: platform.Ready(server.Ready), ReadHeaderTimeout: headTimeout},
