--- a/internal/cli/platform_entry.go
+++ b/internal/cli/platform_entry.go
@@ -93,7 +93,7 @@
 			Handler:           platform.IngressHandler{Server: server, Log: logger},
 			ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHead, ConnContext: platform.ConnContext,
 		},
-		ready:   &http.Server{Handler: platform.Ready(server.Ready), ReadHeaderTimeout: headTimeout},
+		ready:   &http.Server{Handler: platform.ReadinessHandler(server.Ready), ReadHeaderTimeout: headTimeout},
 		metrics: &http.Server{Handler: server.Metrics.Handler(), ReadHeaderTimeout: headTimeout},
 	}
 }
