--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -95,7 +95,7 @@
 	follower := &fleet.Follower{
 		Name: s.Name, Seeds: addresses, Decode: platform.DecodeConfig, Heartbeat: s.Heartbeat(), Log: logger,
 	}
-	engines := platform.NewEngines()
+	engines := platform.NewEngineClient()
 	replica := &control.Replica{
 		ID: replicaID(s.IP), Address: s.PeerAddress(), FailureDomain: s.FailureDomain,
 		Folder: folder, Restart: restart, Ledger: ledger, Listener: peers, Log: logger,
