--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -110,7 +110,7 @@
 	return &platformControl{
 		replica: replica, client: client, follower: follower, log: logger,
 		keeper: &keeping.Keeper{
-			View: follower.View, Leading: replica.Leading, Confirm: replica.Confirm, Source: source, Stores: platform.NewStores(), Log: logger,
+			View: follower.View, Leading: replica.Leading, Confirm: replica.Confirm, Source: source, Stores: platform.NewStoreClient(), Log: logger,
 		},
 		loads: &loads.Watcher{View: follower.View, Leading: replica.Leading, Engines: engines, Source: source, Log: logger},
 		requirer: &orders.Requirer{
