--- a/internal/cli/platform_entry.go
+++ b/internal/cli/platform_entry.go
@@ -56,7 +56,7 @@
 // platformEntry is the parts of an entry, wired together.
 type platformEntry struct {
 	follower  *fleet.Follower
-	upstreams *platform.Upstreams
+	upstreams *platform.UpstreamClient
 	server    *serving.Server
 	// callers, ready and metrics serve a listener each.
 	callers, ready, metrics *http.Server
@@ -78,7 +78,7 @@
 		Metrics:    ends.NewMetrics(), Log: logger,
 	}
 	follower.Ends = tracker
-	upstreams := &platform.Upstreams{}
+	upstreams := &platform.UpstreamClient{}
 	server := &serving.Server{
 		View: follower.View, Upstreams: upstreams, Ends: tracker, Metrics: serving.NewMetrics(), Log: logger,
 		OldWeights: s.OldWeights(), Cold: serving.Cold{Overage: s.ColdOverage, Slack: s.ColdSlack},
@@ -140,7 +140,7 @@
 	_ = callers.Close()
 }
 
-func sweepPool(ctx context.Context, upstreams *platform.Upstreams) {
+func sweepPool(ctx context.Context, upstreams *platform.UpstreamClient) {
 	ticker := time.NewTicker(poolSweep)
 	defer ticker.Stop()
 	for {
