--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -117,7 +117,7 @@
 			View: follower.View, Leading: replica.Leading, Require: replica.RequireWeights, OldWeights: s.OldWeights(), Log: logger,
 		},
 		calls: &http.Server{
-			Handler:           calls.Count(platform.Control{Control: client, Source: source, Domains: func() []string { return file.Current().FailureDomains }, Refused: calls.Refused, Log: logger}.Handler()),
+			Handler:           calls.Count(platform.Control{Control: client, Source: source, Domains: func() []string { return file.Current().FailureDomains }, OnReportRefused: calls.Refused, Log: logger}.Handler()),
 			ReadHeaderTimeout: headTimeout,
 		},
 		metrics: &http.Server{Handler: calls.Handler(), ReadHeaderTimeout: headTimeout},
