--- a/internal/coordination/placement/replay_test.go
+++ b/internal/coordination/placement/replay_test.go
@@ -284,7 +284,7 @@
 		board.BeginFetch(plan.Store)
 		took := placement.Fetched{Blocks: got, Bytes: int64(float64(max(kept-have, 0)*prefix.BlockTokens) * w.bytesPerToken)}
 		if kept > have {
-			ready, took.GaveUp = w.fetch(k, a.at, took.Bytes, plan.FetchLimit.Seconds(), rate)
+			ready, took.GaveUp = w.fetch(k, a.at, took.Bytes, plan.FetchTimeout.Seconds(), rate)
 		}
 		took.Took = time.Duration((ready - a.at) * float64(time.Second))
 		if took.GaveUp {
--- a/internal/coordination/routing/choose.go
+++ b/internal/coordination/routing/choose.go
@@ -60,9 +60,9 @@
 	Upstream int
 	// Fetch is true when its kept context is fetched from the store first.
 	Fetch bool
-	// FetchLimit is how long a fetch may take: as long as it would take to compute
+	// FetchTimeout is how long a fetch may take: as long as it would take to compute
 	// what it brings, and no less than a few round trips.
-	FetchLimit time.Duration
+	FetchTimeout time.Duration
 	// Estimate is the expected time to the first token.
 	Estimate time.Duration
 	// Recompute is how many tokens are expected to be computed.
@@ -117,8 +117,8 @@
 	e := upstreams[winner].estimate(winner, p)
 	return Plan{
 		Upstream: winner, Fetch: e.fetch, Recompute: e.recompute,
-		Estimate:   time.Duration(e.seconds * float64(time.Second)),
-		FetchLimit: time.Duration(e.limit * float64(time.Second)),
+		Estimate:     time.Duration(e.seconds * float64(time.Second)),
+		FetchTimeout: time.Duration(e.limit * float64(time.Second)),
 	}, true
 }
 
--- a/internal/transport/entry/transfer.go
+++ b/internal/transport/entry/transfer.go
@@ -36,7 +36,7 @@
 }
 
 func (e *Entry) importContext(ctx context.Context, j *job) {
-	ctx, cancel := context.WithTimeout(ctx, j.plan.FetchLimit)
+	ctx, cancel := context.WithTimeout(ctx, j.plan.FetchTimeout)
 	defer cancel()
 	began := clock.Now()
 	e.mu.Lock()
