--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -120,7 +120,7 @@
 	known.PrefillRate = u.PrefillRate()
 	known.LinkRate = u.LinkRate()
 	known.Model = u.Model()
-	known.Near = u.FailureDomain() == b.domain
+	known.SameDomain = u.FailureDomain() == b.domain
 	known.NoteLeaving(u.Leaving() || evacuated)
 }
 
--- a/internal/coordination/routing/choose.go
+++ b/internal/coordination/routing/choose.go
@@ -103,7 +103,7 @@
 			continue
 		}
 		tied++
-		if upstreams[i].Near {
+		if upstreams[i].SameDomain {
 			near++
 		}
 	}
@@ -128,7 +128,7 @@
 	winner := -1
 	nth := 0
 	for i, score := range p.Scores {
-		if score > limit || near && !upstreams[i].Near {
+		if score > limit || near && !upstreams[i].SameDomain {
 			continue
 		}
 		if (nth == first || nth == second) && (winner < 0 || upstreams[i].own < upstreams[winner].own) {
@@ -185,7 +185,7 @@
 		}
 	}
 	e.seconds += u.wait()
-	if !u.Near {
+	if !u.SameDomain {
 		e.seconds += farPenalty
 	}
 	e.score = p.Weights.cost(e.seconds, e.recompute)
--- a/internal/coordination/routing/choose_test.go
+++ b/internal/coordination/routing/choose_test.go
@@ -13,7 +13,7 @@
 var now = time.Unix(1000, 0)
 
 func upstream() routing.Upstream {
-	return routing.Upstream{Slots: 4, PrefillRate: 1000, LinkRate: 1e6, Model: "m", Version: "v", Near: true}
+	return routing.Upstream{Slots: 4, PrefillRate: 1000, LinkRate: 1e6, Model: "m", Version: "v", SameDomain: true}
 }
 
 func prompt(n int) *routing.Prompt {
@@ -34,25 +34,25 @@
 		{"not when its wait is longer than computing", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Cached[1] = 50
 			u[1].NoteLoad(4, 4, 0, false)
-			u[0].Near = false
+			u[0].SameDomain = false
 		}, 2, false},
 		{"prompts that wait to be computed count", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Cached[1] = 50
 			u[1].NoteLoad(1, 0, 2000, false)
-			u[0].Near = false
+			u[0].SameDomain = false
 		}, 2, false},
 		{"a fetch, when the link is faster", func(u []routing.Upstream, p *routing.Prompt) { p.Stored = 900; u[0].LinkRate, u[2].LinkRate = 1, 1 }, 1, true},
 		{"no fetch over a slow link", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Stored, p.StoreRate = 900, 1e4
-			u[0].Near, u[2].Near = false, false
+			u[0].SameDomain, u[2].SameDomain = false, false
 		}, 1, false},
 		{"recomputing may cost more than time", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Stored, p.StoreRate = 900, 8e4
 			p.Weights.Recompute = 0.01
-			u[0].Near, u[2].Near = false, false
+			u[0].SameDomain, u[2].SameDomain = false, false
 		}, 1, true},
-		{"own failure domain first", func(u []routing.Upstream, _ *routing.Prompt) { u[0].Near, u[1].Near = false, false }, 2, false},
-		{"another domain when it pays", func(u []routing.Upstream, p *routing.Prompt) { u[0].Near = false; p.Cached[0] = 90 }, 0, false},
+		{"own failure domain first", func(u []routing.Upstream, _ *routing.Prompt) { u[0].SameDomain, u[1].SameDomain = false, false }, 2, false},
+		{"another domain when it pays", func(u []routing.Upstream, p *routing.Prompt) { u[0].SameDomain = false; p.Cached[0] = 90 }, 0, false},
 		{"never another model", func(u []routing.Upstream, p *routing.Prompt) { p.Cached[0] = 90; u[0].Model = "x"; u[1].Model = "x" }, 2, false},
 		{"never another weight version", func(u []routing.Upstream, p *routing.Prompt) { p.Cached[0] = 90; u[0].Version, u[1].Version = "w", "w" }, 2, false},
 		{"never one that leaves", func(u []routing.Upstream, p *routing.Prompt) {
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -37,9 +37,9 @@
 	// Model, Version and Near say whether it may and should be used: Version is
 	// what the engine last said it serves, empty while unknown; Near is true in
 	// the entry's own failure domain.
-	Model   string
-	Version string
-	Near    bool
+	Model      string
+	Version    string
+	SameDomain bool
 
 	// leaving is set by declaration, report or refusal, and listed by the platform's
 	// list; either ends new work.
