--- a/internal/coordination/routing/choose_test.go
+++ b/internal/coordination/routing/choose_test.go
@@ -62,8 +62,8 @@
 		}, 2, false},
 		{"never one that the platform lists as leaving", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Cached[0] = 90
-			u[0].NoteListed(true)
-			u[1].NoteListed(true)
+			u[0].NoteListedLeaving(true)
+			u[1].NoteListedLeaving(true)
 			// A report that lags behind the list does not bring it back.
 			u[1].NoteLoad(0, 0, 0, false)
 		}, 2, false},
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -76,8 +76,8 @@
 // NoteLeaving ends new work there, or begins it again.
 func (u *Upstream) NoteLeaving(leaving bool) { u.leaving = leaving }
 
-// NoteListed takes what the platform's list says.
-func (u *Upstream) NoteListed(leaving bool) { u.listed = leaving }
+// NoteListedLeaving takes what the platform's list says.
+func (u *Upstream) NoteListedLeaving(leaving bool) { u.listed = leaving }
 
 // Leaving reports whether the upstream takes no new work.
 func (u *Upstream) Leaving() bool { return u.leaving || u.listed }
--- a/internal/transport/entry/instances.go
+++ b/internal/transport/entry/instances.go
@@ -58,6 +58,6 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for n := range e.board.Upstreams() {
-		e.board.Upstream(n).NoteListed(leaving[e.board.Address(n)])
+		e.board.Upstream(n).NoteListedLeaving(leaving[e.board.Address(n)])
 	}
 }
