--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -82,9 +82,9 @@
 // Leaving reports whether the upstream takes no new work.
 func (u *Upstream) Leaving() bool { return u.leaving || u.listed }
 
-// NoteRest takes that the upstream wants no run from this entry until some time; an earlier end takes
+// NoteBackoff takes that the upstream wants no run from this entry until some time; an earlier end takes
 // nothing back.
-func (u *Upstream) NoteRest(until time.Time) {
+func (u *Upstream) NoteBackoff(until time.Time) {
 	if until.After(u.restUntil) {
 		u.restUntil = until
 	}
--- a/internal/transport/entry/attempt.go
+++ b/internal/transport/entry/attempt.go
@@ -94,7 +94,7 @@
 	h := reply.Header
 	u := e.board.Upstream(j.plan.Upstream)
 	if rest := reply.Condition.RestFor; rest > 0 {
-		u.NoteRest(clock.Now().Add(rest))
+		u.NoteBackoff(clock.Now().Add(rest))
 		e.logRest(j.plan.Address, rest)
 	}
 	if h.Get(engine.HeaderLeaving) == "true" {
