--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -113,7 +113,7 @@
 	if b.addresses[n] != u.Address() {
 		b.addresses[n] = u.Address()
 		known.Version = ""
-		known.EndRest()
+		known.ClearBackoff()
 		b.directory.ForgetUpstream(n)
 	}
 	known.Slots = u.Slots()
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// EndRest forgets a rest, as another process has the upstream's place.
-func (u *Upstream) EndRest() { u.restUntil = time.Time{} }
+// ClearBackoff forgets a rest, as another process has the upstream's place.
+func (u *Upstream) ClearBackoff() { u.restUntil = time.Time{} }
 
 // Resting reports whether the upstream wants no run from this entry now.
 func (u *Upstream) Resting(now time.Time) bool { return now.Before(u.restUntil) }
