--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -190,7 +190,7 @@
 	counts := map[string]int{}
 	for i := range b.upstreams {
 		u := &b.upstreams[i]
-		if u.Model == m.Name() && u.Version != "" && !u.Leaving() && !u.Ejected(now) && !u.Resting(now) && !slices.Contains(tried, i) {
+		if u.Model == m.Name() && u.Version != "" && !u.Leaving() && !u.Ejected(now) && !u.InBackoff(now) && !slices.Contains(tried, i) {
 			counts[u.Version]++
 		}
 	}
--- a/internal/coordination/routing/choose.go
+++ b/internal/coordination/routing/choose.go
@@ -144,7 +144,7 @@
 func RestLeft(upstreams []Upstream, p *Prompt, now time.Time) (left time.Duration, ok bool) {
 	for i := range upstreams {
 		u := &upstreams[i]
-		if !u.Resting(now) || !u.mayRunLater(i, p, now) {
+		if !u.InBackoff(now) || !u.mayRunLater(i, p, now) {
 			continue
 		}
 		if d := u.restUntil.Sub(now); !ok || d < left {
@@ -156,7 +156,7 @@
 
 // mayRun reports whether a prompt may be sent to the upstream at all now.
 func (u *Upstream) mayRun(i int, p *Prompt, now time.Time) bool {
-	return !u.Resting(now) && u.mayRunLater(i, p, now)
+	return !u.InBackoff(now) && u.mayRunLater(i, p, now)
 }
 
 // mayRunLater reports whether a prompt may be sent to the upstream once it does not rest. One whose
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -93,8 +93,8 @@
 // ClearBackoff forgets a rest, as another process has the upstream's place.
 func (u *Upstream) ClearBackoff() { u.restUntil = time.Time{} }
 
-// Resting reports whether the upstream wants no run from this entry now.
-func (u *Upstream) Resting(now time.Time) bool { return now.Before(u.restUntil) }
+// InBackoff reports whether the upstream wants no run from this entry now.
+func (u *Upstream) InBackoff(now time.Time) bool { return now.Before(u.restUntil) }
 
 // Begin notes a dispatch; tokens is how many of the prompt are to be computed.
 func (u *Upstream) Begin(tokens int) {
