--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -124,9 +124,9 @@
 	u.ejections = 0
 }
 
-// NoteAnswer ends a row of failures to answer questions; it does not vouch for
+// NoteProbeSuccess ends a row of failures to answer questions; it does not vouch for
 // runs, so an ejection takes its course.
-func (u *Upstream) NoteAnswer() {
+func (u *Upstream) NoteProbeSuccess() {
 	if u.own == 0 {
 		u.failures = 0
 	}
--- a/internal/transport/entry/poll.go
+++ b/internal/transport/entry/poll.go
@@ -137,7 +137,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	u := e.board.Upstream(p.number)
-	u.NoteAnswer()
+	u.NoteProbeSuccess()
 	u.NoteLoad(load.Running, load.Queued, load.Reading, load.Leaving)
 	if u.Version != load.Version {
 		// Other weights mean another cache, and one that is empty.
