--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -25,9 +25,9 @@
 	retryAfter = time.Second
 )
 
-// End says how an attempt ended. It is one of Whole, Refused, Unreached,
+// Result says how an attempt ended. It is one of Whole, Refused, Unreached,
 // Misdirected, Broken or CallerGone.
-type End interface{ end() }
+type Result interface{ end() }
 
 // Whole says that the whole answer was passed on.
 type Whole struct{ Status int }
@@ -57,7 +57,7 @@
 func (CallerGone) end()  {}
 
 // Label is the short name of an end for metrics and logs.
-func Label(end End) string {
+func Label(end Result) string {
 	switch end.(type) {
 	case Whole:
 		return "whole"
@@ -112,7 +112,7 @@
 
 // Next decides what follows the end of an attempt. streamed is true when the
 // engine's run can be picked up by offset.
-func (r *Run) Next(end End, streamed bool, budget *Budget) Step {
+func (r *Run) Next(end Result, streamed bool, budget *Budget) Step {
 	switch end := end.(type) {
 	case Whole:
 		return Stop{outcome.Answered{Status: end.Status}}
--- a/internal/coordination/retry/retry_test.go
+++ b/internal/coordination/retry/retry_test.go
@@ -16,22 +16,22 @@
 	}
 	cases := []struct {
 		name     string
-		ends     []retry.End
+		ends     []retry.Result
 		streamed bool
 		want     retry.Step
 	}{
-		{"whole", []retry.End{retry.Whole{Status: 200}}, true, retry.Stop{Outcome: outcome.Answered{Status: 200}}},
-		{"refused once", []retry.End{retry.Refused{}}, false, retry.Dispatch{}},
-		{"refused everywhere", []retry.End{retry.Refused{}, retry.Refused{}, retry.Refused{}}, false, notRun(outcome.ReasonRefused)},
-		{"unreached thrice: others may live", []retry.End{retry.Unreached{}, retry.Unreached{}, retry.Unreached{}}, true, retry.Dispatch{}},
-		{"unreached everywhere", slices.Repeat([]retry.End{retry.Unreached{}}, retry.MaxUnreached), true, notRun(outcome.ReasonUnreachable)},
-		{"unreached does not use up attempts", []retry.End{retry.Unreached{}, retry.Unreached{}, retry.Refused{}, retry.Refused{}}, false, retry.Dispatch{}},
-		{"broken, then refused: it may have run", []retry.End{retry.Broken{}, retry.Refused{}, retry.Refused{}}, false,
+		{"whole", []retry.Result{retry.Whole{Status: 200}}, true, retry.Stop{Outcome: outcome.Answered{Status: 200}}},
+		{"refused once", []retry.Result{retry.Refused{}}, false, retry.Dispatch{}},
+		{"refused everywhere", []retry.Result{retry.Refused{}, retry.Refused{}, retry.Refused{}}, false, notRun(outcome.ReasonRefused)},
+		{"unreached thrice: others may live", []retry.Result{retry.Unreached{}, retry.Unreached{}, retry.Unreached{}}, true, retry.Dispatch{}},
+		{"unreached everywhere", slices.Repeat([]retry.Result{retry.Unreached{}}, retry.MaxUnreached), true, notRun(outcome.ReasonUnreachable)},
+		{"unreached does not use up attempts", []retry.Result{retry.Unreached{}, retry.Unreached{}, retry.Refused{}, retry.Refused{}}, false, retry.Dispatch{}},
+		{"broken, then refused: it may have run", []retry.Result{retry.Broken{}, retry.Refused{}, retry.Refused{}}, false,
 			retry.Stop{Outcome: outcome.Failed{Detail: "no upstream gave a whole answer"}}},
-		{"a broken stream goes on", []retry.End{retry.Broken{Sent: 5}}, true, retry.Resume{Offset: 5}},
-		{"a broken stream that cannot go on is never spliced", []retry.End{retry.Broken{Sent: 5}, retry.Broken{Sent: 7}, retry.Broken{Sent: 7}}, true,
+		{"a broken stream goes on", []retry.Result{retry.Broken{Sent: 5}}, true, retry.Resume{Offset: 5}},
+		{"a broken stream that cannot go on is never spliced", []retry.Result{retry.Broken{Sent: 5}, retry.Broken{Sent: 7}, retry.Broken{Sent: 7}}, true,
 			retry.Stop{Outcome: outcome.Failed{Detail: "the answer broke off and its run cannot go on"}}},
-		{"a stream of which nothing was sent may run elsewhere", []retry.End{retry.Broken{}, retry.Broken{}, retry.Broken{}}, true, retry.Dispatch{}},
+		{"a stream of which nothing was sent may run elsewhere", []retry.Result{retry.Broken{}, retry.Broken{}, retry.Broken{}}, true, retry.Dispatch{}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/coordination/retry/tries.go
+++ b/internal/coordination/retry/tries.go
@@ -32,7 +32,7 @@
 
 // Next decides what follows an attempt; may is asked whether one more send is within the
 // budget, and counts it when it is.
-func (t *Tries) Next(end End, may func() bool) Step {
+func (t *Tries) Next(end Result, may func() bool) Step {
 	switch end := end.(type) {
 	case Whole:
 		t.sent++
--- a/internal/coordination/retry/truthful_test.go
+++ b/internal/coordination/retry/truthful_test.go
@@ -10,7 +10,7 @@
 // A caller is told "not run" only if no attempt can have run: in every sequence of ends, for every
 // kind of request, with and without an allowance for repeated sends.
 func TestNotRunIsTrue(t *testing.T) {
-	ends := []retry.End{
+	ends := []retry.Result{
 		retry.Whole{Status: 200}, retry.Whole{Status: 500}, retry.Refused{}, retry.Unreached{}, retry.Misdirected{},
 		retry.Broken{}, retry.Broken{Sent: 3}, retry.CallerGone{},
 	}
@@ -45,7 +45,7 @@
 	}
 }
 
-func mayHaveRun(end retry.End) bool {
+func mayHaveRun(end retry.Result) bool {
 	switch end.(type) {
 	case retry.Whole, retry.Broken:
 		return true
--- a/internal/transport/entry/attempt.go
+++ b/internal/transport/entry/attempt.go
@@ -16,7 +16,7 @@
 )
 
 // dispatch fetches kept context when that is planned, and runs the prompt.
-func (e *Entry) dispatch(ctx context.Context, c caller, j *job, s *sink) retry.End {
+func (e *Entry) dispatch(ctx context.Context, c caller, j *job, s *sink) retry.Result {
 	j.attempt = j.retry.Begin()
 	j.run = c.request + "-" + strconv.Itoa(j.attempt)
 	j.began = clock.Now()
@@ -46,7 +46,7 @@
 }
 
 // receive takes the reply to an attempt.
-func (e *Entry) receive(c caller, j *job, s *sink, reply exchange.Reply) retry.End {
+func (e *Entry) receive(c caller, j *job, s *sink, reply exchange.Reply) retry.Result {
 	j.heard.Store(clock.Now().UnixNano())
 	switch reply := reply.(type) {
 	case exchange.Unreached:
@@ -143,7 +143,7 @@
 }
 
 // pickUp goes on with a run whose connection broke.
-func (e *Entry) pickUp(ctx context.Context, j *job, s *sink, offset uint64) retry.End {
+func (e *Entry) pickUp(ctx context.Context, j *job, s *sink, offset uint64) retry.Result {
 	a := j.outgoing(admission.Interactive)
 	a.Resumes = true
 	a.After = offset
--- a/internal/transport/entry/run.go
+++ b/internal/transport/entry/run.go
@@ -56,7 +56,7 @@
 	s.onFirst = func() { e.noteFirstToken(j) }
 	var step retry.Step = retry.Dispatch{}
 	for {
-		var end retry.End
+		var end retry.Result
 		switch next := step.(type) {
 		case retry.Dispatch:
 			e.setVersion(c, j)
@@ -111,7 +111,7 @@
 	}
 }
 
-func isWhole(end retry.End) bool {
+func isWhole(end retry.Result) bool {
 	_, ok := end.(retry.Whole)
 	return ok
 }
@@ -165,7 +165,7 @@
 }
 
 // after notes how an attempt ended and decides what follows.
-func (e *Entry) after(ctx context.Context, c caller, j *job, end retry.End) retry.Step {
+func (e *Entry) after(ctx context.Context, c caller, j *job, end retry.Result) retry.Step {
 	e.metrics.attempts.WithLabelValues(j.plan.Name, retry.Label(end)).Inc()
 	e.trackEnd(ctx, c, j, end)
 	e.mu.Lock()
@@ -205,7 +205,7 @@
 }
 
 // held is how long an attempt held a slot; 0 when it never did.
-func held(end retry.End, j *job, now time.Time) time.Duration {
+func held(end retry.Result, j *job, now time.Time) time.Duration {
 	if isWhole(end) {
 		return now.Sub(j.began)
 	}
@@ -213,7 +213,7 @@
 }
 
 // abandoned reports whether a run may go on at the engine with nobody waiting.
-func abandoned(end retry.End) bool {
+func abandoned(end retry.Result) bool {
 	switch end.(type) {
 	case retry.Broken, retry.CallerGone:
 		return true
--- a/internal/transport/entry/sink.go
+++ b/internal/transport/entry/sink.go
@@ -40,7 +40,7 @@
 }
 
 // stream passes events on until the answer's end. The answer is whole only with it.
-func (s *sink) stream(events exchange.Events, j *job) retry.End {
+func (s *sink) stream(events exchange.Events, j *job) retry.Result {
 	place := cursor.Place{Upstream: j.plan.Name, Run: j.run}
 	for {
 		event, more, err := events.Next()
@@ -102,7 +102,7 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-func (s *sink) done() retry.End {
+func (s *sink) done() retry.Result {
 	s.begin()
 	_, err := io.WriteString(s.w, "data: "+openai.Done+"\n\n")
 	if err == nil {
@@ -115,7 +115,7 @@
 }
 
 // whole passes on a complete answer.
-func (s *sink) whole(answer exchange.Whole) retry.End {
+func (s *sink) whole(answer exchange.Whole) retry.Result {
 	s.flow.token()
 	h := s.w.Header()
 	h.Set("Content-Type", answer.Head.Header.Get("Content-Type"))
--- a/internal/transport/serving/begin.go
+++ b/internal/transport/serving/begin.go
@@ -102,7 +102,7 @@
 }
 
 // withdrawn says whether an attempt ended because its engine's weights had become too old.
-func withdrawn(end retry.End, w *beginWatch) bool {
+func withdrawn(end retry.Result, w *beginWatch) bool {
 	_, whole := end.(retry.Whole)
 	return !whole && w.fired()
 }
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -44,7 +44,7 @@
 
 // trackEnd tells what the end of an attempt says of its instance. gone says that it was ended
 // because another incarnation has the instance's place.
-func (j *job) trackEnd(ctx context.Context, a ends.Attempt, end retry.End, err error, gone bool) {
+func (j *job) trackEnd(ctx context.Context, a ends.Attempt, end retry.Result, err error, gone bool) {
 	tracker := j.server.Ends
 	switch end := end.(type) {
 	case retry.Whole:
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -154,7 +154,7 @@
 func (j *job) run(ctx context.Context) {
 	var step retry.Step = retry.Dispatch{}
 	for {
-		var end retry.End
+		var end retry.Result
 		switch next := step.(type) {
 		case retry.Dispatch, retry.Resume:
 			if ctx.Err() == context.Canceled {
@@ -186,7 +186,7 @@
 }
 
 // attempt sends the request once and passes the answer on.
-func (j *job) attempt(ctx context.Context) retry.End {
+func (j *job) attempt(ctx context.Context) retry.Result {
 	began := clock.Now()
 	tracked, over := j.track(ctx)
 	defer over()
@@ -243,7 +243,7 @@
 
 // failedItself reports whether an instance that answers failed a request: by what it answered, or by
 // closing the connection. Silence may be the link's.
-func failedItself(end retry.End, err error, gone bool) bool {
+func failedItself(end retry.Result, err error, gone bool) bool {
 	switch end := end.(type) {
 	case retry.Whole:
 		return end.Status >= 500
--- a/internal/transport/serving/lines.go
+++ b/internal/transport/serving/lines.go
@@ -39,7 +39,7 @@
 		Str("team", j.team.Name).Str("route", j.route.Name).Str("service", j.service).Uint64("config", j.version)
 }
 
-func (j *job) logAttempt(end retry.End, err error, took time.Duration) {
+func (j *job) logAttempt(end retry.Result, err error, took time.Duration) {
 	line := j.server.Log.Info().Str("event", "attempt").Str("request", j.request.ID).Int("number", j.number).
 		Str("instance", j.instance.ID).Int64("start", int64(j.instance.Start)).Str("address", j.instance.Address).Uint64("sequence", j.instance.Sequence).
 		Str("end", endName(end)).Dur("took_ms", took)
@@ -52,7 +52,7 @@
 }
 
 // endName is the end's label, and tells an instance's own failure from an answer.
-func endName(end retry.End) string {
+func endName(end retry.Result) string {
 	if whole, ok := end.(retry.Whole); ok && whole.Status >= 500 {
 		return "failed_there"
 	}
--- a/internal/transport/serving/metrics.go
+++ b/internal/transport/serving/metrics.go
@@ -117,6 +117,6 @@
 	m.older.WithLabelValues(model).Set(float64(older))
 }
 
-func (m *Metrics) attempt(service string, end retry.End) {
+func (m *Metrics) attempt(service string, end retry.Result) {
 	m.attempts.WithLabelValues(service, endName(end)).Inc()
 }
--- a/internal/transport/serving/pass.go
+++ b/internal/transport/serving/pass.go
@@ -15,7 +15,7 @@
 
 // pass turns a reply into the end of an attempt, and passes on what the caller may have.
 // The first event of a stream says that the engine has begun it.
-func (j *job) pass(reply exchange.Reply, watch *beginWatch) (retry.End, error) {
+func (j *job) pass(reply exchange.Reply, watch *beginWatch) (retry.Result, error) {
 	switch reply := reply.(type) {
 	case exchange.Unreached:
 		return retry.Unreached{}, reply.Err
@@ -43,7 +43,7 @@
 	return j.last
 }
 
-func (j *job) passWhole(a exchange.Whole) (retry.End, error) {
+func (j *job) passWhole(a exchange.Whole) (retry.Result, error) {
 	if j.began {
 		// The stream cannot go on with an answer that is none.
 		return retry.Broken{Sent: j.last}, errors.Errorf("answered %d in place of the rest", a.Head.Status)
@@ -61,7 +61,7 @@
 	return retry.Whole{Status: a.Head.Status}, nil
 }
 
-func (j *job) passStream(a exchange.Stream, watch *beginWatch) (retry.End, error) {
+func (j *job) passStream(a exchange.Stream, watch *beginWatch) (retry.Result, error) {
 	for {
 		event, more, err := a.Events.Next()
 		if err == io.EOF {
@@ -103,7 +103,7 @@
 	return j.sink.Begin(h)
 }
 
-func (j *job) endStream(h exchange.Head) retry.End {
+func (j *job) endStream(h exchange.Head) retry.Result {
 	err := j.beginStream(h)
 	if err != nil {
 		return retry.CallerGone{}
