--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -29,8 +29,8 @@
 // Misdirected, Broken or CallerGone.
 type Result interface{ end() }
 
-// Whole says that the whole answer was passed on.
-type Whole struct{ Status int }
+// Completed says that the whole answer was passed on.
+type Completed struct{ Status int }
 
 // Refused says that the upstream refused this very run, and named it.
 type Refused struct{}
@@ -49,7 +49,7 @@
 // CallerGone says that nobody waits for the answer.
 type CallerGone struct{}
 
-func (Whole) end()       {}
+func (Completed) end()   {}
 func (Refused) end()     {}
 func (Unreached) end()   {}
 func (Misdirected) end() {}
@@ -59,7 +59,7 @@
 // Label is the short name of an end for metrics and logs.
 func Label(end Result) string {
 	switch end.(type) {
-	case Whole:
+	case Completed:
 		return "whole"
 	case Refused:
 		return "refused"
@@ -114,7 +114,7 @@
 // engine's run can be picked up by offset.
 func (r *Run) Next(end Result, streamed bool, budget *Budget) Step {
 	switch end := end.(type) {
-	case Whole:
+	case Completed:
 		return Stop{outcome.Answered{Status: end.Status}}
 	case CallerGone:
 		return Stop{outcome.CallerGone}
--- a/internal/coordination/retry/retry_test.go
+++ b/internal/coordination/retry/retry_test.go
@@ -20,7 +20,7 @@
 		streamed bool
 		want     retry.Step
 	}{
-		{"whole", []retry.Result{retry.Whole{Status: 200}}, true, retry.Stop{Outcome: outcome.Answered{Status: 200}}},
+		{"whole", []retry.Result{retry.Completed{Status: 200}}, true, retry.Stop{Outcome: outcome.Answered{Status: 200}}},
 		{"refused once", []retry.Result{retry.Refused{}}, false, retry.Dispatch{}},
 		{"refused everywhere", []retry.Result{retry.Refused{}, retry.Refused{}, retry.Refused{}}, false, notRun(outcome.ReasonRefused)},
 		{"unreached thrice: others may live", []retry.Result{retry.Unreached{}, retry.Unreached{}, retry.Unreached{}}, true, retry.Dispatch{}},
--- a/internal/coordination/retry/tries.go
+++ b/internal/coordination/retry/tries.go
@@ -34,7 +34,7 @@
 // budget, and counts it when it is.
 func (t *Tries) Next(end Result, may func() bool) Step {
 	switch end := end.(type) {
-	case Whole:
+	case Completed:
 		t.sent++
 		t.ran = true
 		if end.Status >= 500 && t.again(may) {
--- a/internal/coordination/retry/tries_test.go
+++ b/internal/coordination/retry/tries_test.go
@@ -25,7 +25,7 @@
 		may   func() bool
 		want  retry.Step
 	}{
-		{"whole", retry.Tries{Attempts: 2}, []retry.Result{retry.Whole{Status: 200}}, yes, stop(outcome.Answered{Status: 200})},
+		{"whole", retry.Tries{Attempts: 2}, []retry.Result{retry.Completed{Status: 200}}, yes, stop(outcome.Answered{Status: 200})},
 		{"refused, once more", retry.Tries{Attempts: 2}, []retry.Result{retry.Refused{}}, yes, retry.Dispatch{}},
 		{"refused, the last attempt", retry.Tries{Attempts: 1}, []retry.Result{retry.Refused{}}, yes, notRun(outcome.ReasonRefused)},
 		{"refused, no budget", retry.Tries{Attempts: 2}, []retry.Result{retry.Refused{}}, no, notRun(outcome.ReasonRefused)},
@@ -34,9 +34,9 @@
 		{"misdirected counts against the budget", retry.Tries{Attempts: 1}, []retry.Result{retry.Misdirected{}}, no, notRun(outcome.ReasonRefused)},
 		{"misdirected, elsewhere", retry.Tries{Attempts: 1}, []retry.Result{retry.Misdirected{}}, yes, retry.Dispatch{}},
 		{"once only: it may have run", retry.Tries{Attempts: 3}, []retry.Result{retry.Broken{}}, yes, stop(outcome.Unknown{Detail: "the instance gave no whole answer"})},
-		{"once only: a failure is its answer", retry.Tries{Attempts: 3}, []retry.Result{retry.Whole{Status: 500}}, yes, stop(outcome.Answered{Status: 500})},
-		{"repeats after a failure", retry.Tries{Attempts: 2, Repeats: true}, []retry.Result{retry.Whole{Status: 500}}, yes, retry.Dispatch{}},
-		{"repeats, no attempt left", retry.Tries{Attempts: 2, Repeats: true}, []retry.Result{retry.Whole{Status: 500}, retry.Whole{Status: 500}}, yes, stop(outcome.Answered{Status: 500})},
+		{"once only: a failure is its answer", retry.Tries{Attempts: 3}, []retry.Result{retry.Completed{Status: 500}}, yes, stop(outcome.Answered{Status: 500})},
+		{"repeats after a failure", retry.Tries{Attempts: 2, Repeats: true}, []retry.Result{retry.Completed{Status: 500}}, yes, retry.Dispatch{}},
+		{"repeats, no attempt left", retry.Tries{Attempts: 2, Repeats: true}, []retry.Result{retry.Completed{Status: 500}, retry.Completed{Status: 500}}, yes, stop(outcome.Answered{Status: 500})},
 		{"a stream goes on", retry.Tries{Attempts: 2, Repeats: true, Streamed: true}, []retry.Result{retry.Broken{Sent: 3}}, yes, retry.Resume{Offset: 3}},
 		{"a stream that may not", retry.Tries{Attempts: 2, Streamed: true}, []retry.Result{retry.Broken{Sent: 3}}, yes, stop(outcome.Failed{Detail: "the answer broke off"})},
 		{"never not run after it ran", retry.Tries{Attempts: 2, Repeats: true}, []retry.Result{retry.Broken{}, retry.Refused{}}, yes, stop(outcome.Failed{Detail: "no instance gave a whole answer"})},
--- a/internal/coordination/retry/truthful_test.go
+++ b/internal/coordination/retry/truthful_test.go
@@ -11,7 +11,7 @@
 // kind of request, with and without an allowance for repeated sends.
 func TestNotRunIsTrue(t *testing.T) {
 	ends := []retry.Result{
-		retry.Whole{Status: 200}, retry.Whole{Status: 500}, retry.Refused{}, retry.Unreached{}, retry.Misdirected{},
+		retry.Completed{Status: 200}, retry.Completed{Status: 500}, retry.Refused{}, retry.Unreached{}, retry.Misdirected{},
 		retry.Broken{}, retry.Broken{Sent: 3}, retry.CallerGone{},
 	}
 	const most = 5
@@ -47,7 +47,7 @@
 
 func mayHaveRun(end retry.Result) bool {
 	switch end.(type) {
-	case retry.Whole, retry.Broken:
+	case retry.Completed, retry.Broken:
 		return true
 	}
 	return false
--- a/internal/transport/entry/ends.go
+++ b/internal/transport/entry/ends.go
@@ -57,7 +57,7 @@
 func (e *Entry) trackEnd(ctx context.Context, c caller, j *job, end retry.Result) {
 	a := ends.Attempt{Request: c.request, Digest: j.digest, To: registry.Instance{ID: j.plan.Name, Address: j.plan.Address}, Sent: j.began}
 	switch end := end.(type) {
-	case retry.Whole:
+	case retry.Completed:
 		if end.Status < http.StatusMultipleChoices {
 			e.Ends.Whole(a)
 		}
--- a/internal/transport/entry/resume.go
+++ b/internal/transport/entry/resume.go
@@ -28,7 +28,7 @@
 	for range retry.MaxAttempts {
 		end := e.pickUp(r.Context(), j, s, s.sent)
 		switch end.(type) {
-		case retry.Whole:
+		case retry.Completed:
 			c.flow.ended(outcome.Answered{})
 			e.logOutcome(c, outcome.Answered{}, 1)
 			return
--- a/internal/transport/entry/run.go
+++ b/internal/transport/entry/run.go
@@ -112,7 +112,7 @@
 }
 
 func isWhole(end retry.Result) bool {
-	_, ok := end.(retry.Whole)
+	_, ok := end.(retry.Completed)
 	return ok
 }
 
@@ -173,7 +173,7 @@
 	u := e.board.Upstream(j.plan.Upstream)
 	now := clock.Now()
 	switch end.(type) {
-	case retry.Whole:
+	case retry.Completed:
 		u.NoteSuccess()
 	case retry.Unreached, retry.Broken:
 		u.NoteFailure(now)
--- a/internal/transport/entry/sink.go
+++ b/internal/transport/entry/sink.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return retry.CallerGone{}
 	}
-	return retry.Whole{Status: http.StatusOK}
+	return retry.Completed{Status: http.StatusOK}
 }
 
 // whole passes on a complete answer.
@@ -130,7 +130,7 @@
 	if err != nil {
 		return retry.CallerGone{}
 	}
-	return retry.Whole{Status: answer.Head.Status}
+	return retry.Completed{Status: answer.Head.Status}
 }
 
 // fail gives the final outcome: as an answer of its own when nothing was sent,
--- a/internal/transport/serving/begin.go
+++ b/internal/transport/serving/begin.go
@@ -103,6 +103,6 @@
 
 // withdrawn says whether an attempt ended because its engine's weights had become too old.
 func withdrawn(end retry.Result, w *beginWatch) bool {
-	_, whole := end.(retry.Whole)
+	_, whole := end.(retry.Completed)
 	return !whole && w.fired()
 }
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -47,7 +47,7 @@
 func (j *job) trackEnd(ctx context.Context, a ends.Attempt, end retry.Result, err error, gone bool) {
 	tracker := j.server.Ends
 	switch end := end.(type) {
-	case retry.Whole:
+	case retry.Completed:
 		if end.Status < http.StatusMultipleChoices {
 			tracker.Whole(a)
 		}
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -205,7 +205,7 @@
 	if gone {
 		err = errSuperseded
 	}
-	if _, whole := end.(retry.Whole); !whole && ctx.Err() == context.Canceled {
+	if _, whole := end.(retry.Completed); !whole && ctx.Err() == context.Canceled {
 		// The caller's leaving closed the connection: that says nothing of the instance.
 		end = retry.CallerGone{}
 	}
@@ -214,7 +214,7 @@
 	}
 	result := balance.Result{}
 	switch end := end.(type) {
-	case retry.Whole:
+	case retry.Completed:
 		result.Latency = heard.Sub(began)
 		result.Failed = end.Status >= 500
 	case retry.Unreached, retry.Misdirected:
@@ -235,7 +235,7 @@
 	}
 	j.server.mu.Unlock()
 	j.server.Metrics.attempt(j.service, end)
-	if _, whole := end.(retry.Whole); !whole || result.Failed {
+	if _, whole := end.(retry.Completed); !whole || result.Failed {
 		j.logAttempt(end, err, heard.Sub(began))
 	}
 	return end
@@ -245,7 +245,7 @@
 // closing the connection. Silence may be the link's.
 func failedItself(end retry.Result, err error, gone bool) bool {
 	switch end := end.(type) {
-	case retry.Whole:
+	case retry.Completed:
 		return end.Status >= 500
 	case retry.Broken:
 		return !gone && closed(err)
--- a/internal/transport/serving/lines.go
+++ b/internal/transport/serving/lines.go
@@ -53,7 +53,7 @@
 
 // endName is the end's label, and tells an instance's own failure from an answer.
 func endName(end retry.Result) string {
-	if whole, ok := end.(retry.Whole); ok && whole.Status >= 500 {
+	if whole, ok := end.(retry.Completed); ok && whole.Status >= 500 {
 		return "failed_there"
 	}
 	return retry.Label(end)
--- a/internal/transport/serving/pass.go
+++ b/internal/transport/serving/pass.go
@@ -50,7 +50,7 @@
 	}
 	if a.Head.Status >= 500 && j.tries.Repeats {
 		j.spare = &a
-		return retry.Whole{Status: a.Head.Status}, nil
+		return retry.Completed{Status: a.Head.Status}, nil
 	}
 	j.spare = nil
 	j.first = clock.Now()
@@ -58,7 +58,7 @@
 	if err != nil {
 		return retry.CallerGone{}, err
 	}
-	return retry.Whole{Status: a.Head.Status}, nil
+	return retry.Completed{Status: a.Head.Status}, nil
 }
 
 func (j *job) passStream(a exchange.Stream, watch *beginWatch) (retry.Result, error) {
@@ -109,5 +109,5 @@
 		return retry.CallerGone{}
 	}
 	j.sink.End()
-	return retry.Whole{Status: h.Status}
+	return retry.Completed{Status: h.Status}
 }
