--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -91,8 +91,8 @@
 func (Resume) step()   {}
 func (Stop) step()     {}
 
-// Run is the state of one prompt's attempts. The zero value has made none.
-type Run struct {
+// PromptAttempts is the state of one prompt's attempts. The zero value has made none.
+type PromptAttempts struct {
 	// attempts counts dispatches, unreached those of them that reached no upstream,
 	// and resumes how often the present run was picked up.
 	attempts, unreached, resumes int
@@ -101,10 +101,10 @@
 }
 
 // Attempts returns the number of dispatches.
-func (r *Run) Attempts() int { return r.attempts }
+func (r *PromptAttempts) Attempts() int { return r.attempts }
 
 // Begin counts a dispatch and returns its number, from 1.
-func (r *Run) Begin() int {
+func (r *PromptAttempts) Begin() int {
 	r.attempts++
 	r.resumes = 0
 	return r.attempts
@@ -112,7 +112,7 @@
 
 // Next decides what follows the end of an attempt. streamed is true when the
 // engine's run can be picked up by offset.
-func (r *Run) Next(end Result, streamed bool, budget *Budget) Step {
+func (r *PromptAttempts) Next(end Result, streamed bool, budget *Budget) Step {
 	switch end := end.(type) {
 	case Completed:
 		return Stop{outcome.Answered{Status: end.Status}}
@@ -137,7 +137,7 @@
 }
 
 // again dispatches anew within the bounds, or ends the request.
-func (r *Run) again(reason outcome.Reason, budget *Budget) Step {
+func (r *PromptAttempts) again(reason outcome.Reason, budget *Budget) Step {
 	if r.attempts-r.unreached < MaxAttempts && budget.Take() {
 		return Dispatch{}
 	}
@@ -146,7 +146,7 @@
 
 // elsewhere dispatches anew after an upstream was not reached. That is no retry in
 // the budget's sense: nothing was asked of anybody.
-func (r *Run) elsewhere() Step {
+func (r *PromptAttempts) elsewhere() Step {
 	r.unreached++
 	if r.unreached < MaxUnreached {
 		return Dispatch{}
@@ -156,11 +156,13 @@
 
 // GiveUp is the outcome when no further attempt is made: NotRun only when no
 // attempt can have run.
-func (r *Run) GiveUp(reason outcome.Reason) outcome.Outcome { return r.Withhold(retryAfter, reason) }
+func (r *PromptAttempts) GiveUp(reason outcome.Reason) outcome.Outcome {
+	return r.Withhold(retryAfter, reason)
+}
 
 // Withhold is the outcome when the prompt is not sent any more for a reason of its own, and a
 // caller may come back after a while.
-func (r *Run) Withhold(after time.Duration, reason outcome.Reason) outcome.Outcome {
+func (r *PromptAttempts) Withhold(after time.Duration, reason outcome.Reason) outcome.Outcome {
 	if r.reached {
 		return outcome.Failed{Detail: "no upstream gave a whole answer"}
 	}
--- a/internal/coordination/retry/retry_test.go
+++ b/internal/coordination/retry/retry_test.go
@@ -35,7 +35,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var r retry.Run
+			var r retry.PromptAttempts
 			budget := retry.NewBudget()
 			var step retry.Step = retry.Dispatch{}
 			for _, end := range c.ends {
@@ -59,7 +59,7 @@
 	attempts := 0
 	for range requests {
 		budget.Earn()
-		var r retry.Run
+		var r retry.PromptAttempts
 		var step retry.Step = retry.Dispatch{}
 		for {
 			if _, ok := step.(retry.Dispatch); !ok {
--- a/internal/transport/entry/run.go
+++ b/internal/transport/entry/run.go
@@ -36,7 +36,7 @@
 	salt    string
 	keys    []prefix.Key
 	tried   []int
-	retry   retry.Run
+	retry   retry.PromptAttempts
 	// plan and run are those of the present attempt.
 	plan    placement.Plan
 	run     string
