--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -157,12 +157,12 @@
 // GiveUp is the outcome when no further attempt is made: NotRun only when no
 // attempt can have run.
 func (r *PromptAttempts) GiveUp(reason outcome.Reason) outcome.Outcome {
-	return r.Withhold(retryAfter, reason)
+	return r.Reject(retryAfter, reason)
 }
 
-// Withhold is the outcome when the prompt is not sent any more for a reason of its own, and a
+// Reject is the outcome when the prompt is not sent any more for a reason of its own, and a
 // caller may come back after a while.
-func (r *PromptAttempts) Withhold(after time.Duration, reason outcome.Reason) outcome.Outcome {
+func (r *PromptAttempts) Reject(after time.Duration, reason outcome.Reason) outcome.Outcome {
 	if r.reached {
 		return outcome.Failed{Detail: "no upstream gave a whole answer"}
 	}
--- a/internal/transport/entry/run.go
+++ b/internal/transport/entry/run.go
@@ -62,7 +62,7 @@
 			e.setVersion(c, j)
 			no, permitted := e.permit(j.digest)
 			if no != nil {
-				step = retry.Stop{Outcome: j.retry.Withhold(no.after, no.reason)}
+				step = retry.Stop{Outcome: j.retry.Reject(no.after, no.reason)}
 				continue
 			}
 			if !e.place(r.Context(), j) {
@@ -159,7 +159,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if left, ok := e.board.RestLeft(j.prompt(nil), clock.Now()); ok {
-		return j.retry.Withhold(left, outcome.ReasonResting)
+		return j.retry.Reject(left, outcome.ReasonResting)
 	}
 	return j.retry.GiveUp(outcome.ReasonNoUpstream)
 }
