--- a/internal/coordination/retry/tries.go
+++ b/internal/coordination/retry/tries.go
@@ -15,9 +15,9 @@
 	returnAfter = 300 * time.Millisecond
 )
 
-// Tries decides what follows each attempt at one request whose route says how often it may
+// RequestAttempts decides what follows each attempt at one request whose route says how often it may
 // run. It holds no clock. Set the exported fields before Next.
-type Tries struct {
+type RequestAttempts struct {
 	// Attempts is the largest number of instances to which the request is sent.
 	Attempts int
 	// Repeats says that it may run more than once.
@@ -32,7 +32,7 @@
 
 // Next decides what follows an attempt; may is asked whether one more send is within the
 // budget, and counts it when it is.
-func (t *Tries) Next(end Result, may func() bool) Step {
+func (t *RequestAttempts) Next(end Result, may func() bool) Step {
 	switch end := end.(type) {
 	case Completed:
 		t.sent++
@@ -67,7 +67,7 @@
 	panic("retry: end outside the sealed set")
 }
 
-func (t *Tries) broken(end Broken, may func() bool) Step {
+func (t *RequestAttempts) broken(end Broken, may func() bool) Step {
 	t.sent++
 	t.ran = true
 	if !t.Repeats {
@@ -86,20 +86,22 @@
 }
 
 // again reports whether a request that ran may be sent once more.
-func (t *Tries) again(may func() bool) bool {
+func (t *RequestAttempts) again(may func() bool) bool {
 	return t.Repeats && t.sent < t.Attempts && may()
 }
 
 // GiveUp is the outcome when no instance is left to try.
-func (t *Tries) GiveUp() outcome.Outcome { return t.giveUp(outcome.ReasonNoUpstream) }
+func (t *RequestAttempts) GiveUp() outcome.Outcome { return t.giveUp(outcome.ReasonNoUpstream) }
 
 // Withhold is the outcome when the request is not sent any more for a reason of its own, and a
 // caller may come back after a while.
-func (t *Tries) Withhold(after time.Duration, reason outcome.Reason) outcome.Outcome {
+func (t *RequestAttempts) Withhold(after time.Duration, reason outcome.Reason) outcome.Outcome {
 	if t.ran {
 		return outcome.Failed{Detail: "no instance gave a whole answer"}
 	}
 	return outcome.NotRun{RetryAfter: after, Reason: reason}
 }
 
-func (t *Tries) giveUp(reason outcome.Reason) outcome.Outcome { return t.Withhold(returnAfter, reason) }
+func (t *RequestAttempts) giveUp(reason outcome.Reason) outcome.Outcome {
+	return t.Withhold(returnAfter, reason)
+}
--- a/internal/coordination/retry/truthful_test.go
+++ b/internal/coordination/retry/truthful_test.go
@@ -15,8 +15,8 @@
 		retry.Broken{}, retry.Broken{Sent: 3}, retry.CallerGone{},
 	}
 	const most = 5
-	var try func(tries retry.Tries, may func() bool, ran bool, depth int)
-	try = func(tries retry.Tries, may func() bool, ran bool, depth int) {
+	var try func(tries retry.RequestAttempts, may func() bool, ran bool, depth int)
+	try = func(tries retry.RequestAttempts, may func() bool, ran bool, depth int) {
 		if notRun(tries.GiveUp()) && ran {
 			t.Errorf("%+v gives up as not run after it may have run", tries)
 		}
@@ -37,7 +37,7 @@
 		}
 	}
 	for _, attempts := range []int{1, 2, 3} {
-		for _, kind := range []retry.Tries{{}, {Repeats: true}, {Streamed: true}, {Repeats: true, Streamed: true}} {
+		for _, kind := range []retry.RequestAttempts{{}, {Repeats: true}, {Streamed: true}, {Repeats: true, Streamed: true}} {
 			kind.Attempts = attempts
 			try(kind, yes, false, 0)
 			try(kind, no, false, 0)
