--- a/internal/coordination/retry/tries.go
+++ b/internal/coordination/retry/tries.go
@@ -20,8 +20,8 @@
 type RequestAttempts struct {
 	// Attempts is the largest number of instances to which the request is sent.
 	Attempts int
-	// Repeats says that it may run more than once.
-	Repeats bool
+	// Idempotent says that it may run more than once.
+	Idempotent bool
 	// Streamed says that its answer is a stream; one that repeats goes on behind the last
 	// event that the caller has.
 	Streamed bool
@@ -70,7 +70,7 @@
 func (t *RequestAttempts) broken(end Broken, may func() bool) Step {
 	t.sent++
 	t.ran = true
-	if !t.Repeats {
+	if !t.Idempotent {
 		if end.Sent > 0 {
 			return Stop{outcome.Failed{Detail: "the answer broke off"}}
 		}
@@ -87,7 +87,7 @@
 
 // again reports whether a request that ran may be sent once more.
 func (t *RequestAttempts) again(may func() bool) bool {
-	return t.Repeats && t.sent < t.Attempts && may()
+	return t.Idempotent && t.sent < t.Attempts && may()
 }
 
 // GiveUp is the outcome when no instance is left to try.
--- a/internal/coordination/retry/tries_test.go
+++ b/internal/coordination/retry/tries_test.go
@@ -35,12 +35,12 @@
 		{"misdirected, elsewhere", retry.RequestAttempts{Attempts: 1}, []retry.Result{retry.Misdirected{}}, yes, retry.Dispatch{}},
 		{"once only: it may have run", retry.RequestAttempts{Attempts: 3}, []retry.Result{retry.Broken{}}, yes, stop(outcome.Unknown{Detail: "the instance gave no whole answer"})},
 		{"once only: a failure is its answer", retry.RequestAttempts{Attempts: 3}, []retry.Result{retry.Completed{Status: 500}}, yes, stop(outcome.Answered{Status: 500})},
-		{"repeats after a failure", retry.RequestAttempts{Attempts: 2, Repeats: true}, []retry.Result{retry.Completed{Status: 500}}, yes, retry.Dispatch{}},
-		{"repeats, no attempt left", retry.RequestAttempts{Attempts: 2, Repeats: true}, []retry.Result{retry.Completed{Status: 500}, retry.Completed{Status: 500}}, yes, stop(outcome.Answered{Status: 500})},
-		{"a stream goes on", retry.RequestAttempts{Attempts: 2, Repeats: true, Streamed: true}, []retry.Result{retry.Broken{Sent: 3}}, yes, retry.Resume{Offset: 3}},
+		{"repeats after a failure", retry.RequestAttempts{Attempts: 2, Idempotent: true}, []retry.Result{retry.Completed{Status: 500}}, yes, retry.Dispatch{}},
+		{"repeats, no attempt left", retry.RequestAttempts{Attempts: 2, Idempotent: true}, []retry.Result{retry.Completed{Status: 500}, retry.Completed{Status: 500}}, yes, stop(outcome.Answered{Status: 500})},
+		{"a stream goes on", retry.RequestAttempts{Attempts: 2, Idempotent: true, Streamed: true}, []retry.Result{retry.Broken{Sent: 3}}, yes, retry.Resume{Offset: 3}},
 		{"a stream that may not", retry.RequestAttempts{Attempts: 2, Streamed: true}, []retry.Result{retry.Broken{Sent: 3}}, yes, stop(outcome.Failed{Detail: "the answer broke off"})},
-		{"never not run after it ran", retry.RequestAttempts{Attempts: 2, Repeats: true}, []retry.Result{retry.Broken{}, retry.Refused{}}, yes, stop(outcome.Failed{Detail: "no instance gave a whole answer"})},
-		{"the caller has gone", retry.RequestAttempts{Attempts: 2, Repeats: true}, []retry.Result{retry.CallerGone{}}, yes, stop(outcome.Unknown{Detail: "the caller has gone"})},
+		{"never not run after it ran", retry.RequestAttempts{Attempts: 2, Idempotent: true}, []retry.Result{retry.Broken{}, retry.Refused{}}, yes, stop(outcome.Failed{Detail: "no instance gave a whole answer"})},
+		{"the caller has gone", retry.RequestAttempts{Attempts: 2, Idempotent: true}, []retry.Result{retry.CallerGone{}}, yes, stop(outcome.Unknown{Detail: "the caller has gone"})},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/transport/serving/pass.go
+++ b/internal/transport/serving/pass.go
@@ -48,7 +48,7 @@
 		// The stream cannot go on with an answer that is none.
 		return retry.Broken{Sent: j.last}, errors.Errorf("answered %d in place of the rest", a.Head.Status)
 	}
-	if a.Head.Status >= 500 && j.tries.Repeats {
+	if a.Head.Status >= 500 && j.tries.Idempotent {
 		j.spare = &a
 		return retry.Completed{Status: a.Head.Status}, nil
 	}
