--- a/internal/coordination/retry/tries.go
+++ b/internal/coordination/retry/tries.go
@@ -18,8 +18,8 @@
 // RequestAttempts decides what follows each attempt at one request whose route says how often it may
 // run. It holds no clock. Set the exported fields before Next.
 type RequestAttempts struct {
-	// Attempts is the largest number of instances to which the request is sent.
-	Attempts int
+	// MaxAttempts is the largest number of instances to which the request is sent.
+	MaxAttempts int
 	// Idempotent says that it may run more than once.
 	Idempotent bool
 	// Streamed says that its answer is a stream; one that repeats goes on behind the last
@@ -57,7 +57,7 @@
 		return Stop{t.giveUp(outcome.ReasonRefused)}
 	case Refused:
 		t.sent++
-		if t.sent < t.Attempts && may() {
+		if t.sent < t.MaxAttempts && may() {
 			return Dispatch{}
 		}
 		return Stop{t.giveUp(outcome.ReasonRefused)}
@@ -87,7 +87,7 @@
 
 // again reports whether a request that ran may be sent once more.
 func (t *RequestAttempts) again(may func() bool) bool {
-	return t.Idempotent && t.sent < t.Attempts && may()
+	return t.Idempotent && t.sent < t.MaxAttempts && may()
 }
 
 // GiveUp is the outcome when no instance is left to try.
--- a/internal/coordination/retry/tries_test.go
+++ b/internal/coordination/retry/tries_test.go
@@ -25,22 +25,22 @@
 		may   func() bool
 		want  retry.Step
 	}{
-		{"whole", retry.RequestAttempts{Attempts: 2}, []retry.Result{retry.Completed{Status: 200}}, yes, stop(outcome.Answered{Status: 200})},
-		{"refused, once more", retry.RequestAttempts{Attempts: 2}, []retry.Result{retry.Refused{}}, yes, retry.Dispatch{}},
-		{"refused, the last attempt", retry.RequestAttempts{Attempts: 1}, []retry.Result{retry.Refused{}}, yes, notRun(outcome.ReasonRefused)},
-		{"refused, no budget", retry.RequestAttempts{Attempts: 2}, []retry.Result{retry.Refused{}}, no, notRun(outcome.ReasonRefused)},
-		{"unreached costs no attempt", retry.RequestAttempts{Attempts: 1}, []retry.Result{retry.Unreached{}}, no, retry.Dispatch{}},
-		{"unreached four times", retry.RequestAttempts{Attempts: 1}, []retry.Result{retry.Unreached{}, retry.Unreached{}, retry.Unreached{}, retry.Unreached{}}, yes, notRun(outcome.ReasonUnreachable)},
-		{"misdirected counts against the budget", retry.RequestAttempts{Attempts: 1}, []retry.Result{retry.Misdirected{}}, no, notRun(outcome.ReasonRefused)},
-		{"misdirected, elsewhere", retry.RequestAttempts{Attempts: 1}, []retry.Result{retry.Misdirected{}}, yes, retry.Dispatch{}},
-		{"once only: it may have run", retry.RequestAttempts{Attempts: 3}, []retry.Result{retry.Broken{}}, yes, stop(outcome.Unknown{Detail: "the instance gave no whole answer"})},
-		{"once only: a failure is its answer", retry.RequestAttempts{Attempts: 3}, []retry.Result{retry.Completed{Status: 500}}, yes, stop(outcome.Answered{Status: 500})},
-		{"repeats after a failure", retry.RequestAttempts{Attempts: 2, Idempotent: true}, []retry.Result{retry.Completed{Status: 500}}, yes, retry.Dispatch{}},
-		{"repeats, no attempt left", retry.RequestAttempts{Attempts: 2, Idempotent: true}, []retry.Result{retry.Completed{Status: 500}, retry.Completed{Status: 500}}, yes, stop(outcome.Answered{Status: 500})},
-		{"a stream goes on", retry.RequestAttempts{Attempts: 2, Idempotent: true, Streamed: true}, []retry.Result{retry.Broken{Sent: 3}}, yes, retry.Resume{Offset: 3}},
-		{"a stream that may not", retry.RequestAttempts{Attempts: 2, Streamed: true}, []retry.Result{retry.Broken{Sent: 3}}, yes, stop(outcome.Failed{Detail: "the answer broke off"})},
-		{"never not run after it ran", retry.RequestAttempts{Attempts: 2, Idempotent: true}, []retry.Result{retry.Broken{}, retry.Refused{}}, yes, stop(outcome.Failed{Detail: "no instance gave a whole answer"})},
-		{"the caller has gone", retry.RequestAttempts{Attempts: 2, Idempotent: true}, []retry.Result{retry.CallerGone{}}, yes, stop(outcome.Unknown{Detail: "the caller has gone"})},
+		{"whole", retry.RequestAttempts{MaxAttempts: 2}, []retry.Result{retry.Completed{Status: 200}}, yes, stop(outcome.Answered{Status: 200})},
+		{"refused, once more", retry.RequestAttempts{MaxAttempts: 2}, []retry.Result{retry.Refused{}}, yes, retry.Dispatch{}},
+		{"refused, the last attempt", retry.RequestAttempts{MaxAttempts: 1}, []retry.Result{retry.Refused{}}, yes, notRun(outcome.ReasonRefused)},
+		{"refused, no budget", retry.RequestAttempts{MaxAttempts: 2}, []retry.Result{retry.Refused{}}, no, notRun(outcome.ReasonRefused)},
+		{"unreached costs no attempt", retry.RequestAttempts{MaxAttempts: 1}, []retry.Result{retry.Unreached{}}, no, retry.Dispatch{}},
+		{"unreached four times", retry.RequestAttempts{MaxAttempts: 1}, []retry.Result{retry.Unreached{}, retry.Unreached{}, retry.Unreached{}, retry.Unreached{}}, yes, notRun(outcome.ReasonUnreachable)},
+		{"misdirected counts against the budget", retry.RequestAttempts{MaxAttempts: 1}, []retry.Result{retry.Misdirected{}}, no, notRun(outcome.ReasonRefused)},
+		{"misdirected, elsewhere", retry.RequestAttempts{MaxAttempts: 1}, []retry.Result{retry.Misdirected{}}, yes, retry.Dispatch{}},
+		{"once only: it may have run", retry.RequestAttempts{MaxAttempts: 3}, []retry.Result{retry.Broken{}}, yes, stop(outcome.Unknown{Detail: "the instance gave no whole answer"})},
+		{"once only: a failure is its answer", retry.RequestAttempts{MaxAttempts: 3}, []retry.Result{retry.Completed{Status: 500}}, yes, stop(outcome.Answered{Status: 500})},
+		{"repeats after a failure", retry.RequestAttempts{MaxAttempts: 2, Idempotent: true}, []retry.Result{retry.Completed{Status: 500}}, yes, retry.Dispatch{}},
+		{"repeats, no attempt left", retry.RequestAttempts{MaxAttempts: 2, Idempotent: true}, []retry.Result{retry.Completed{Status: 500}, retry.Completed{Status: 500}}, yes, stop(outcome.Answered{Status: 500})},
+		{"a stream goes on", retry.RequestAttempts{MaxAttempts: 2, Idempotent: true, Streamed: true}, []retry.Result{retry.Broken{Sent: 3}}, yes, retry.Resume{Offset: 3}},
+		{"a stream that may not", retry.RequestAttempts{MaxAttempts: 2, Streamed: true}, []retry.Result{retry.Broken{Sent: 3}}, yes, stop(outcome.Failed{Detail: "the answer broke off"})},
+		{"never not run after it ran", retry.RequestAttempts{MaxAttempts: 2, Idempotent: true}, []retry.Result{retry.Broken{}, retry.Refused{}}, yes, stop(outcome.Failed{Detail: "no instance gave a whole answer"})},
+		{"the caller has gone", retry.RequestAttempts{MaxAttempts: 2, Idempotent: true}, []retry.Result{retry.CallerGone{}}, yes, stop(outcome.Unknown{Detail: "the caller has gone"})},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/coordination/retry/truthful_test.go
+++ b/internal/coordination/retry/truthful_test.go
@@ -38,7 +38,7 @@
 	}
 	for _, attempts := range []int{1, 2, 3} {
 		for _, kind := range []retry.RequestAttempts{{}, {Idempotent: true}, {Streamed: true}, {Idempotent: true, Streamed: true}} {
-			kind.Attempts = attempts
+			kind.MaxAttempts = attempts
 			try(kind, yes, false, 0)
 			try(kind, no, false, 0)
 		}
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -115,7 +115,7 @@
 	j.urgency = config.Urgency(j.team, j.route)
 	j.service = j.route.Service(rand.Float64())
 	j.deadline = r.Arrived.Add(min(j.route.Timeout, r.Patience()))
-	j.tries = retry.RequestAttempts{Attempts: max(1, j.route.Attempts), Idempotent: j.route.Repeats(), Streamed: j.route.Kind == deployment.Stream}
+	j.tries = retry.RequestAttempts{MaxAttempts: max(1, j.route.Attempts), Idempotent: j.route.Repeats(), Streamed: j.route.Kind == deployment.Stream}
 	j.last = r.After
 	j.server.mu.Lock()
 	j.server.window(j.service).Request(clock.Now())
