--- a/internal/coordination/retry/tries.go
+++ b/internal/coordination/retry/tries.go
@@ -93,9 +93,9 @@
 // GiveUp is the outcome when no instance is left to try.
 func (t *RequestAttempts) GiveUp() outcome.Outcome { return t.giveUp(outcome.ReasonNoUpstream) }
 
-// Withhold is the outcome when the request is not sent any more for a reason of its own, and a
+// Reject is the outcome when the request is not sent any more for a reason of its own, and a
 // caller may come back after a while.
-func (t *RequestAttempts) Withhold(after time.Duration, reason outcome.Reason) outcome.Outcome {
+func (t *RequestAttempts) Reject(after time.Duration, reason outcome.Reason) outcome.Outcome {
 	if t.ran {
 		return outcome.Failed{Detail: "no instance gave a whole answer"}
 	}
@@ -103,5 +103,5 @@
 }
 
 func (t *RequestAttempts) giveUp(reason outcome.Reason) outcome.Outcome {
-	return t.Withhold(returnAfter, reason)
+	return t.Reject(returnAfter, reason)
 }
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -34,7 +34,7 @@
 	if !ok {
 		return nil
 	}
-	return j.tries.Withhold(hold.RetryAfter, hold.Reason())
+	return j.tries.Reject(hold.RetryAfter, hold.Reason())
 }
 
 // tracked is the present attempt as ends of instances are tracked.
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -84,7 +84,7 @@
 	}
 	in, ok := board.Pick(instances, wish, now)
 	if !ok && evacuated(instances, view) {
-		return j.tries.Withhold(evacuatedAfter, outcome.ReasonEvacuated)
+		return j.tries.Reject(evacuatedAfter, outcome.ReasonEvacuated)
 	}
 	if !ok {
 		return j.noInstance(instances, wish, now)
@@ -110,9 +110,9 @@
 func (j *job) noInstance(instances []registry.Instance, wish balance.Wish, now time.Time) outcome.Outcome {
 	switch held := j.server.board.HeldBack(instances, wish, now).(type) {
 	case balance.Resting:
-		return j.tries.Withhold(held.Left, outcome.ReasonResting)
+		return j.tries.Reject(held.Left, outcome.ReasonResting)
 	case balance.Limited:
-		return j.tries.Withhold(held.Left, outcome.ReasonLimited)
+		return j.tries.Reject(held.Left, outcome.ReasonLimited)
 	}
 	return j.tries.GiveUp()
 }
