--- a/internal/coordination/retry/tries_test.go
+++ b/internal/coordination/retry/tries_test.go
@@ -69,7 +69,7 @@
 		for at := time.Duration(0); at < 30*time.Second; at += 20 * time.Millisecond {
 			w := windows[int(at/time.Millisecond)%entries]
 			now := time.Unix(0, 0).Add(at)
-			w.Request(now)
+			w.CountRequest(now)
 			requests++
 			for w.Take(now, entries) {
 				sent = append(sent, at)
--- a/internal/coordination/retry/window.go
+++ b/internal/coordination/retry/window.go
@@ -34,8 +34,8 @@
 
 type counts struct{ requests, repeats int }
 
-// Request notes a request.
-func (w *Window) Request(now time.Time) { w.part(now).requests++ }
+// CountRequest notes a request.
+func (w *Window) CountRequest(now time.Time) { w.part(now).requests++ }
 
 // Take counts one repeated send if it is within the allowance; entries is how many entries
 // share it.
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -118,7 +118,7 @@
 	j.tries = retry.RequestAttempts{MaxAttempts: max(1, j.route.Attempts), Idempotent: j.route.Repeats(), Streamed: j.route.Kind == deployment.Stream}
 	j.last = r.After
 	j.server.mu.Lock()
-	j.server.window(j.service).Request(clock.Now())
+	j.server.window(j.service).CountRequest(clock.Now())
 	j.server.mu.Unlock()
 	return true
 }
