--- a/internal/coordination/membership/domains.go
+++ b/internal/coordination/membership/domains.go
@@ -33,8 +33,8 @@
 	Members []Contact
 }
 
-// DomainPulse says that a failure domain was alive, in few bytes.
-type DomainPulse struct {
+// DomainHeartbeat says that a failure domain was alive, in few bytes.
+type DomainHeartbeat struct {
 	// ID and Digest are digests of the domain's name and of its members.
 	ID   uint32
 	Beat uint64
@@ -113,21 +113,21 @@
 
 // domainPulses tells of every failure domain that is not silent, or of all that are
 // remembered.
-func (e *Entries) domainPulses(all bool, now time.Time) []DomainPulse {
+func (e *Entries) domainPulses(all bool, now time.Time) []DomainHeartbeat {
 	own := e.own(now)
-	var out []DomainPulse
+	var out []DomainHeartbeat
 	for id, d := range e.domains {
 		if d == own || all || d.beat > 0 && now.Sub(d.heard) <= domainSilentAfter {
-			out = append(out, DomainPulse{id, d.beat, d.digest})
+			out = append(out, DomainHeartbeat{id, d.beat, d.digest})
 		}
 	}
-	slices.SortFunc(out, func(a, b DomainPulse) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b DomainHeartbeat) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
 // hearDomainPulses takes pulses from an entry in the domain from, and returns the domains
 // whose members have changed.
-func (e *Entries) hearDomainPulses(from string, pulses []DomainPulse, now time.Time) (ask []uint32) {
+func (e *Entries) hearDomainPulses(from string, pulses []DomainHeartbeat, now time.Time) (ask []uint32) {
 	own := e.own(now)
 	for _, p := range pulses {
 		d, ok := e.domains[p.ID]
--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -61,7 +61,7 @@
 	Pulses []Pulse
 	// DomainPulses tell of the failure domains, Domains of those that were asked for,
 	// and Asked asks for some.
-	DomainPulses []DomainPulse
+	DomainPulses []DomainHeartbeat
 	Domains      []DomainState
 	Asked        []uint32
 }
--- a/internal/protocol/wire/peers.go
+++ b/internal/protocol/wire/peers.go
@@ -71,7 +71,7 @@
 	}
 	for i, id := range m.GetDomainIds() {
 		if i < len(m.DomainBeats) && i < len(m.DomainDigests) {
-			out.DomainPulses = append(out.DomainPulses, membership.DomainPulse{ID: id, Beat: m.DomainBeats[i], Digest: m.DomainDigests[i]})
+			out.DomainPulses = append(out.DomainPulses, membership.DomainHeartbeat{ID: id, Beat: m.DomainBeats[i], Digest: m.DomainDigests[i]})
 		}
 	}
 	for _, d := range m.GetDomains() {
