--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -45,8 +45,8 @@
 	Leaving bool
 }
 
-// Pulse says that an entry was alive, in few bytes.
-type Pulse struct {
+// Heartbeat says that an entry was alive, in few bytes.
+type Heartbeat struct {
 	// ID is a digest of the entry's name and start.
 	ID   uint32
 	Beat uint64
@@ -58,7 +58,7 @@
 	// lately and of one other.
 	States []EntryState
 	// Pulses tell of all in the failure domain that are not dead.
-	Pulses []Pulse
+	Pulses []Heartbeat
 	// DomainPulses tell of the failure domains, Domains of those that were asked for,
 	// and Asked asks for some.
 	DomainPulses []DomainHeartbeat
@@ -228,7 +228,7 @@
 			if all || now.Sub(k.changed) < newsAfter || other == 0 {
 				g.States = append(g.States, k.state)
 			} else {
-				g.Pulses = append(g.Pulses, Pulse{k.id, k.state.Beat})
+				g.Pulses = append(g.Pulses, Heartbeat{k.id, k.state.Beat})
 			}
 		}
 		other--
--- a/internal/protocol/wire/peers.go
+++ b/internal/protocol/wire/peers.go
@@ -55,8 +55,8 @@
 	return out
 }
 
-// ToGossip is the inverse of FromGossip; what lacks its counterpart, such as a pulse
-// without a beat, is left out.
+// ToGossip is the inverse of FromGossip; what lacks its counterpart, such as a heartbeat ID
+// without its counter, is left out.
 func ToGossip(m *GossipMessage) membership.Gossip {
 	var out membership.Gossip
 	for _, s := range m.GetEntries() {
@@ -66,7 +66,7 @@
 	}
 	for i, id := range m.GetIds() {
 		if i < len(m.Beats) {
-			out.Pulses = append(out.Pulses, membership.Pulse{ID: id, Beat: m.Beats[i]})
+			out.Pulses = append(out.Pulses, membership.Heartbeat{ID: id, Beat: m.Beats[i]})
 		}
 	}
 	for i, id := range m.GetDomainIds() {
