--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -59,9 +59,9 @@
 	States []EntryState
 	// Pulses tell of all in the failure domain that are not dead.
 	Pulses []Heartbeat
-	// DomainPulses tell of the failure domains, Domains of those that were asked for,
+	// DomainHeartbeats tell of the failure domains, Domains of those that were asked for,
 	// and Asked asks for some.
-	DomainPulses []DomainHeartbeat
+	DomainHeartbeats []DomainHeartbeat
 	Domains      []DomainState
 	Asked        []uint32
 }
@@ -194,14 +194,14 @@
 func (e *Entries) TellNear(now time.Time) Gossip {
 	g := e.tellEntries(false, now)
 	if e.self.Beat%domainEvery == 0 || e.relays(now) {
-		g.DomainPulses = e.domainPulses(false, now)
+		g.DomainHeartbeats = e.domainPulses(false, now)
 	}
 	return g
 }
 
 // TellFar returns what entries of other failure domains are told now.
 func (e *Entries) TellFar(now time.Time) Gossip {
-	return Gossip{States: []EntryState{e.self}, DomainPulses: e.domainPulses(false, now)}
+	return Gossip{States: []EntryState{e.self}, DomainHeartbeats: e.domainPulses(false, now)}
 }
 
 // tellStranger returns everything that is of use to an entry that may be new.
@@ -210,7 +210,7 @@
 	if domain == e.self.FailureDomain {
 		g = e.tellEntries(true, now)
 	}
-	g.DomainPulses = e.domainPulses(true, now)
+	g.DomainHeartbeats = e.domainPulses(true, now)
 	return g
 }
 
@@ -269,7 +269,7 @@
 	for _, d := range g.Domains {
 		e.hearDomain(d, now)
 	}
-	out := Heard{Ask: e.hearDomainPulses(sender.FailureDomain, g.DomainPulses, now)}
+	out := Heard{Ask: e.hearDomainPulses(sender.FailureDomain, g.DomainHeartbeats, now)}
 	switch {
 	case len(g.Asked) > 0:
 		out.Answer = e.tellDomains(g.Asked, now)
--- a/internal/protocol/wire/peers.go
+++ b/internal/protocol/wire/peers.go
@@ -38,7 +38,7 @@
 		out.Ids = append(out.Ids, p.ID)
 		out.Beats = append(out.Beats, p.Beat)
 	}
-	for _, p := range g.DomainPulses {
+	for _, p := range g.DomainHeartbeats {
 		out.DomainIds = append(out.DomainIds, p.ID)
 		out.DomainBeats = append(out.DomainBeats, p.Beat)
 		out.DomainDigests = append(out.DomainDigests, p.Digest)
@@ -71,7 +71,7 @@
 	}
 	for i, id := range m.GetDomainIds() {
 		if i < len(m.DomainBeats) && i < len(m.DomainDigests) {
-			out.DomainPulses = append(out.DomainPulses, membership.DomainHeartbeat{ID: id, Beat: m.DomainBeats[i], Digest: m.DomainDigests[i]})
+			out.DomainHeartbeats = append(out.DomainHeartbeats, membership.DomainHeartbeat{ID: id, Beat: m.DomainBeats[i], Digest: m.DomainDigests[i]})
 		}
 	}
 	for _, d := range m.GetDomains() {
