--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -57,8 +57,8 @@
 	// States tell of the sender, and within a failure domain of entries that changed
 	// lately and of one other.
 	States []EntryState
-	// Pulses tell of all in the failure domain that are not dead.
-	Pulses []Heartbeat
+	// Heartbeats tell of all in the failure domain that are not dead.
+	Heartbeats []Heartbeat
 	// DomainHeartbeats tell of the failure domains, Domains of those that were asked for,
 	// and Asked asks for some.
 	DomainHeartbeats []DomainHeartbeat
@@ -228,7 +228,7 @@
 			if all || now.Sub(k.changed) < newsAfter || other == 0 {
 				g.States = append(g.States, k.state)
 			} else {
-				g.Pulses = append(g.Pulses, Heartbeat{k.id, k.state.Beat})
+				g.Heartbeats = append(g.Heartbeats, Heartbeat{k.id, k.state.Beat})
 			}
 		}
 		other--
@@ -260,7 +260,7 @@
 	for _, k := range e.others {
 		byID[k.id] = k
 	}
-	for _, p := range g.Pulses {
+	for _, p := range g.Heartbeats {
 		if k, ok := byID[p.ID]; ok && p.Beat > k.state.Beat {
 			k.state.Beat = p.Beat
 			k.heard = now
--- a/internal/protocol/wire/peers.go
+++ b/internal/protocol/wire/peers.go
@@ -34,7 +34,7 @@
 			Name: s.Name, Address: s.Address, FailureDomain: s.FailureDomain, Start: s.Start, Beat: s.Beat, Leaving: s.Leaving,
 		})
 	}
-	for _, p := range g.Pulses {
+	for _, p := range g.Heartbeats {
 		out.Ids = append(out.Ids, p.ID)
 		out.Beats = append(out.Beats, p.Beat)
 	}
@@ -66,7 +66,7 @@
 	}
 	for i, id := range m.GetIds() {
 		if i < len(m.Beats) {
-			out.Pulses = append(out.Pulses, membership.Heartbeat{ID: id, Beat: m.Beats[i]})
+			out.Heartbeats = append(out.Heartbeats, membership.Heartbeat{ID: id, Beat: m.Beats[i]})
 		}
 	}
 	for i, id := range m.GetDomainIds() {
