--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -63,7 +63,7 @@
 	// and Asked asks for some.
 	DomainHeartbeats []DomainHeartbeat
 	Domains      []DomainState
-	Asked        []uint32
+	Requested        []uint32
 }
 
 // id is the digest by which pulses name an entry's run.
@@ -271,8 +271,8 @@
 	}
 	out := Heard{Ask: e.hearDomainPulses(sender.FailureDomain, g.DomainHeartbeats, now)}
 	switch {
-	case len(g.Asked) > 0:
-		out.Answer = e.tellDomains(g.Asked, now)
+	case len(g.Requested) > 0:
+		out.Answer = e.tellDomains(g.Requested, now)
 	case stranger:
 		out.Answer = e.tellStranger(sender.FailureDomain, now)
 	}
--- a/internal/protocol/wire/peers.go
+++ b/internal/protocol/wire/peers.go
@@ -51,7 +51,7 @@
 		}
 		out.Domains = append(out.Domains, m)
 	}
-	out.Asked = g.Asked
+	out.Asked = g.Requested
 	return out
 }
 
@@ -83,7 +83,7 @@
 		}
 		out.Domains = append(out.Domains, state)
 	}
-	out.Asked = m.GetAsked()
+	out.Requested = m.GetAsked()
 	return out
 }
 
