--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -113,9 +113,9 @@
 
 // Targets says whom to tell now. It is a plain value.
 type Targets struct {
-	// Near are addresses in this failure domain; Far are those of other domains and of
+	// Local are addresses in this failure domain; Far are those of other domains and of
 	// entries of which nothing is known.
-	Near, Far []string
+	Local, Far []string
 }
 
 // Beat counts one interval and returns whom to tell now: some entries of the failure
@@ -136,7 +136,7 @@
 			live = append(live, k.state.Address)
 		}
 	}
-	t := Targets{Near: e.draw(live, e.self.Leaving)}
+	t := Targets{Local: e.draw(live, e.self.Leaving)}
 	if e.relays(now) {
 		t.Far = e.draw(e.otherRelays(now), false)
 	}
@@ -145,7 +145,7 @@
 	// Now and then a seed is told too, so that two halves that were cut off from each
 	// other for long find together again.
 	turn := uint64(seedEvery * max(len(live), 1))
-	if len(seeds) > 0 && (len(t.Near)+len(t.Far) == 0 || e.self.Beat%turn == 0) {
+	if len(seeds) > 0 && (len(t.Local)+len(t.Far) == 0 || e.self.Beat%turn == 0) {
 		t.Far = append(t.Far, seeds[e.random.IntN(len(seeds))])
 	}
 	return t
@@ -157,7 +157,7 @@
 	var t Targets
 	for _, s := range e.Live(now) {
 		if s.Name != e.self.Name {
-			t.Near = append(t.Near, s.Address)
+			t.Local = append(t.Local, s.Address)
 		}
 	}
 	if e.relays(now) {
--- a/internal/coordination/membership/entries_test.go
+++ b/internal/coordination/membership/entries_test.go
@@ -93,7 +93,7 @@
 		for _, address := range c.addresses() {
 			e := c.entries[address]
 			targets := e.Beat(c.seeds, c.now)
-			for _, to := range targets.Near {
+			for _, to := range targets.Local {
 				c.send(address, to, e.TellNear(c.now))
 			}
 			for _, to := range targets.Far {
--- a/internal/transport/peers/facts.go
+++ b/internal/transport/peers/facts.go
@@ -46,7 +46,7 @@
 		return
 	}
 	if own || relays {
-		for _, address := range targets.Near {
+		for _, address := range targets.Local {
 			p.send(address, message)
 		}
 	}
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -135,7 +135,7 @@
 	p.mu.Unlock()
 	p.addDigest(near)
 	p.addDigest(far)
-	for _, address := range targets.Near {
+	for _, address := range targets.Local {
 		p.send(address, near)
 	}
 	for _, address := range targets.Far {
