--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -113,9 +113,9 @@
 
 // Targets says whom to tell now. It is a plain value.
 type Targets struct {
-	// Local are addresses in this failure domain; Far are those of other domains and of
+	// Local are addresses in this failure domain; Remote are those of other domains and of
 	// entries of which nothing is known.
-	Local, Far []string
+	Local, Remote []string
 }
 
 // Beat counts one interval and returns whom to tell now: some entries of the failure
@@ -138,15 +138,15 @@
 	}
 	t := Targets{Local: e.draw(live, e.self.Leaving)}
 	if e.relays(now) {
-		t.Far = e.draw(e.otherRelays(now), false)
+		t.Remote = e.draw(e.otherRelays(now), false)
 	}
-	t.Far = append(t.Far, e.found...)
+	t.Remote = append(t.Remote, e.found...)
 	e.found = nil
 	// Now and then a seed is told too, so that two halves that were cut off from each
 	// other for long find together again.
 	turn := uint64(seedEvery * max(len(live), 1))
-	if len(seeds) > 0 && (len(t.Local)+len(t.Far) == 0 || e.self.Beat%turn == 0) {
-		t.Far = append(t.Far, seeds[e.random.IntN(len(seeds))])
+	if len(seeds) > 0 && (len(t.Local)+len(t.Remote) == 0 || e.self.Beat%turn == 0) {
+		t.Remote = append(t.Remote, seeds[e.random.IntN(len(seeds))])
 	}
 	return t
 }
@@ -161,7 +161,7 @@
 		}
 	}
 	if e.relays(now) {
-		t.Far = e.otherRelays(now)
+		t.Remote = e.otherRelays(now)
 	}
 	return t
 }
--- a/internal/coordination/membership/entries_test.go
+++ b/internal/coordination/membership/entries_test.go
@@ -96,7 +96,7 @@
 			for _, to := range targets.Local {
 				c.send(address, to, e.TellNear(c.now))
 			}
-			for _, to := range targets.Far {
+			for _, to := range targets.Remote {
 				if to != address {
 					c.send(address, to, e.TellFar(c.now))
 				}
--- a/internal/transport/peers/facts.go
+++ b/internal/transport/peers/facts.go
@@ -50,7 +50,7 @@
 			p.send(address, message)
 		}
 	}
-	for _, address := range targets.Far {
+	for _, address := range targets.Remote {
 		p.send(address, message)
 	}
 }
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -138,7 +138,7 @@
 	for _, address := range targets.Local {
 		p.send(address, near)
 	}
-	for _, address := range targets.Far {
+	for _, address := range targets.Remote {
 		p.send(address, far)
 	}
 }
