--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -118,10 +118,10 @@
 	Local, Remote []string
 }
 
-// Beat counts one interval and returns whom to tell now: some entries of the failure
+// Tick counts one interval and returns whom to tell now: some entries of the failure
 // domain, drawn at random; relays of other domains, if this entry relays; or the given
 // seeds while nobody is known.
-func (e *Entries) Beat(seeds []string, now time.Time) Targets {
+func (e *Entries) Tick(seeds []string, now time.Time) Targets {
 	e.self.Beat++
 	e.excuse(now)
 	for name, k := range e.others {
--- a/internal/coordination/membership/entries_test.go
+++ b/internal/coordination/membership/entries_test.go
@@ -92,7 +92,7 @@
 		c.now = c.now.Add(time.Second)
 		for _, address := range c.addresses() {
 			e := c.entries[address]
-			targets := e.Beat(c.seeds, c.now)
+			targets := e.Tick(c.seeds, c.now)
 			for _, to := range targets.Local {
 				c.send(address, to, e.TellNear(c.now))
 			}
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -128,7 +128,7 @@
 func (p *Peers) tell() {
 	now := clock.Now()
 	p.mu.Lock()
-	targets := p.entries.Beat(p.Seeds, now)
+	targets := p.entries.Tick(p.Seeds, now)
 	near := wire.FromGossip(p.entries.TellNear(now))
 	far := wire.FromGossip(p.entries.TellFar(now))
 	p.refresh(now)
