--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -151,9 +151,9 @@
 	return t
 }
 
-// All returns all others of this failure domain, and the relays of other domains if this entry
+// BroadcastTargets returns all others of this failure domain, and the relays of other domains if this entry
 // relays: whom to tell what must be known at once.
-func (e *Entries) All(now time.Time) Targets {
+func (e *Entries) BroadcastTargets(now time.Time) Targets {
 	var t Targets
 	for _, s := range e.Live(now) {
 		if s.Name != e.self.Name {
--- a/internal/transport/peers/facts.go
+++ b/internal/transport/peers/facts.go
@@ -38,7 +38,7 @@
 func (p *Peers) spreadOnce(own bool) {
 	p.mu.Lock()
 	now := clock.Now()
-	targets := p.entries.All(now)
+	targets := p.entries.BroadcastTargets(now)
 	message := wire.FromGossip(p.entries.TellFar(now))
 	_, relays := p.relay(now)
 	p.mu.Unlock()
