--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -190,8 +190,8 @@
 	return addresses
 }
 
-// TellNear returns what entries of this failure domain are told now.
-func (e *Entries) TellNear(now time.Time) Gossip {
+// LocalGossip returns what entries of this failure domain are told now.
+func (e *Entries) LocalGossip(now time.Time) Gossip {
 	g := e.tellEntries(false, now)
 	if e.self.Beat%domainEvery == 0 || e.relays(now) {
 		g.DomainHeartbeats = e.domainPulses(false, now)
--- a/internal/coordination/membership/entries_test.go
+++ b/internal/coordination/membership/entries_test.go
@@ -94,7 +94,7 @@
 			e := c.entries[address]
 			targets := e.Tick(c.seeds, c.now)
 			for _, to := range targets.Local {
-				c.send(address, to, e.TellNear(c.now))
+				c.send(address, to, e.LocalGossip(c.now))
 			}
 			for _, to := range targets.Remote {
 				if to != address {
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -129,7 +129,7 @@
 	now := clock.Now()
 	p.mu.Lock()
 	targets := p.entries.Tick(p.Seeds, now)
-	near := wire.FromGossip(p.entries.TellNear(now))
+	near := wire.FromGossip(p.entries.LocalGossip(now))
 	far := wire.FromGossip(p.entries.TellFar(now))
 	p.refresh(now)
 	p.mu.Unlock()
