--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -199,8 +199,8 @@
 	return g
 }
 
-// TellFar returns what entries of other failure domains are told now.
-func (e *Entries) TellFar(now time.Time) Gossip {
+// RemoteGossip returns what entries of other failure domains are told now.
+func (e *Entries) RemoteGossip(now time.Time) Gossip {
 	return Gossip{States: []EntryState{e.self}, DomainHeartbeats: e.domainPulses(false, now)}
 }
 
--- a/internal/coordination/membership/entries_test.go
+++ b/internal/coordination/membership/entries_test.go
@@ -98,7 +98,7 @@
 			}
 			for _, to := range targets.Remote {
 				if to != address {
-					c.send(address, to, e.TellFar(c.now))
+					c.send(address, to, e.RemoteGossip(c.now))
 				}
 			}
 		}
--- a/internal/transport/peers/facts.go
+++ b/internal/transport/peers/facts.go
@@ -39,7 +39,7 @@
 	p.mu.Lock()
 	now := clock.Now()
 	targets := p.entries.BroadcastTargets(now)
-	message := wire.FromGossip(p.entries.TellFar(now))
+	message := wire.FromGossip(p.entries.RemoteGossip(now))
 	_, relays := p.relay(now)
 	p.mu.Unlock()
 	if !p.addFacts(message) {
@@ -99,7 +99,7 @@
 		return
 	}
 	p.mu.Lock()
-	message := wire.FromGossip(p.entries.TellFar(clock.Now()))
+	message := wire.FromGossip(p.entries.RemoteGossip(clock.Now()))
 	p.mu.Unlock()
 	if !p.addFacts(message) || message.FactsDigest == answer.FactsDigest {
 		return
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -130,7 +130,7 @@
 	p.mu.Lock()
 	targets := p.entries.Tick(p.Seeds, now)
 	near := wire.FromGossip(p.entries.LocalGossip(now))
-	far := wire.FromGossip(p.entries.TellFar(now))
+	far := wire.FromGossip(p.entries.RemoteGossip(now))
 	p.refresh(now)
 	p.mu.Unlock()
 	p.addDigest(near)
