--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -238,8 +238,8 @@
 
 // Heard is what follows from what another entry told. It is a plain value.
 type Heard struct {
-	// Answer is for the sender; it has no states when there is nothing to say.
-	Answer Gossip
+	// Reply is for the sender; it has no states when there is nothing to say.
+	Reply Gossip
 	// Ask lists the failure domains of which the sender knows more.
 	Ask []uint32
 }
@@ -272,9 +272,9 @@
 	out := Heard{Ask: e.hearDomainPulses(sender.FailureDomain, g.DomainHeartbeats, now)}
 	switch {
 	case len(g.Requested) > 0:
-		out.Answer = e.tellDomains(g.Requested, now)
+		out.Reply = e.tellDomains(g.Requested, now)
 	case stranger:
-		out.Answer = e.tellStranger(sender.FailureDomain, now)
+		out.Reply = e.tellStranger(sender.FailureDomain, now)
 	}
 	return out
 }
--- a/internal/coordination/membership/entries_test.go
+++ b/internal/coordination/membership/entries_test.go
@@ -69,9 +69,9 @@
 	c.count(from, to, g)
 	heard := receiver.Hear(g, c.now)
 	c.ask(to, from, heard)
-	if len(heard.Answer.States) > 0 {
-		c.count(to, from, heard.Answer)
-		c.ask(from, to, c.entries[from].Hear(heard.Answer, c.now))
+	if len(heard.Reply.States) > 0 {
+		c.count(to, from, heard.Reply)
+		c.ask(from, to, c.entries[from].Hear(heard.Reply, c.now))
 	}
 }
 
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -175,7 +175,7 @@
 	if len(heard.Ask) > 0 {
 		p.send(g.States[0].Address, wire.FromGossip(question))
 	}
-	return heard.Answer
+	return heard.Reply
 }
 
 // Leave tells the others at once that this entry takes no more work.
