--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -240,8 +240,8 @@
 type Heard struct {
 	// Reply is for the sender; it has no states when there is nothing to say.
 	Reply Gossip
-	// Ask lists the failure domains of which the sender knows more.
-	Ask []uint32
+	// Outdated lists the failure domains of which the sender knows more.
+	Outdated []uint32
 }
 
 // Hear takes what another entry told; the sender is the first of the states. One that
@@ -269,7 +269,7 @@
 	for _, d := range g.Domains {
 		e.hearDomain(d, now)
 	}
-	out := Heard{Ask: e.hearDomainPulses(sender.FailureDomain, g.DomainHeartbeats, now)}
+	out := Heard{Outdated: e.hearDomainPulses(sender.FailureDomain, g.DomainHeartbeats, now)}
 	switch {
 	case len(g.Requested) > 0:
 		out.Reply = e.tellDomains(g.Requested, now)
--- a/internal/coordination/membership/entries_test.go
+++ b/internal/coordination/membership/entries_test.go
@@ -76,8 +76,8 @@
 }
 
 func (c *crowd) ask(from, to string, heard membership.Heard) {
-	if len(heard.Ask) > 0 {
-		c.send(from, to, c.entries[from].Ask(heard.Ask))
+	if len(heard.Outdated) > 0 {
+		c.send(from, to, c.entries[from].Ask(heard.Outdated))
 	}
 }
 
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -170,9 +170,9 @@
 	now := clock.Now()
 	heard := p.entries.Hear(g, now)
 	p.refresh(now)
-	question := p.entries.Ask(heard.Ask)
+	question := p.entries.Ask(heard.Outdated)
 	p.mu.Unlock()
-	if len(heard.Ask) > 0 {
+	if len(heard.Outdated) > 0 {
 		p.send(g.States[0].Address, wire.FromGossip(question))
 	}
 	return heard.Reply
