--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -244,10 +244,10 @@
 	Outdated []uint32
 }
 
-// Hear takes what another entry told; the sender is the first of the states. One that
+// Receive takes what another entry told; the sender is the first of the states. One that
 // asks for failure domains is told of those; one that is new here is told everything;
 // the others hear of the rest when it is their turn.
-func (e *Entries) Hear(g Gossip, now time.Time) Heard {
+func (e *Entries) Receive(g Gossip, now time.Time) Heard {
 	if len(g.States) == 0 {
 		return Heard{}
 	}
--- a/internal/coordination/membership/entries_test.go
+++ b/internal/coordination/membership/entries_test.go
@@ -67,11 +67,11 @@
 		return
 	}
 	c.count(from, to, g)
-	heard := receiver.Hear(g, c.now)
+	heard := receiver.Receive(g, c.now)
 	c.ask(to, from, heard)
 	if len(heard.Reply.States) > 0 {
 		c.count(to, from, heard.Reply)
-		c.ask(from, to, c.entries[from].Hear(heard.Reply, c.now))
+		c.ask(from, to, c.entries[from].Receive(heard.Reply, c.now))
 	}
 }
 
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -168,7 +168,7 @@
 	g := wire.ToGossip(m)
 	p.mu.Lock()
 	now := clock.Now()
-	heard := p.entries.Hear(g, now)
+	heard := p.entries.Receive(g, now)
 	p.refresh(now)
 	question := p.entries.Ask(heard.Outdated)
 	p.mu.Unlock()
