--- a/internal/coordination/membership/entries_test.go
+++ b/internal/coordination/membership/entries_test.go
@@ -77,7 +77,7 @@
 
 func (c *crowd) ask(from, to string, heard membership.Heard) {
 	if len(heard.Outdated) > 0 {
-		c.send(from, to, c.entries[from].Ask(heard.Outdated))
+		c.send(from, to, c.entries[from].DomainRequest(heard.Outdated))
 	}
 }
 
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -170,7 +170,7 @@
 	now := clock.Now()
 	heard := p.entries.Receive(g, now)
 	p.refresh(now)
-	question := p.entries.Ask(heard.Outdated)
+	question := p.entries.DomainRequest(heard.Outdated)
 	p.mu.Unlock()
 	if len(heard.Outdated) > 0 {
 		p.send(g.States[0].Address, wire.FromGossip(question))
