--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -367,5 +367,5 @@
 	return owner
 }
 
-// Seed returns a number that differs from process to process.
-func Seed() uint64 { return maphash.String(maphash.MakeSeed(), "") }
+// RandomSeed returns a number that differs from process to process.
+func RandomSeed() uint64 { return maphash.String(maphash.MakeSeed(), "") }
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -87,7 +87,7 @@
 		self := membership.EntryState{
 			Name: p.Name, Address: p.Listener.Addr().String(), FailureDomain: p.FailureDomain, Start: uint64(clock.Now().UnixNano()),
 		}
-		p.entries = membership.NewEntries(self, membership.Seed())
+		p.entries = membership.NewEntries(self, membership.RandomSeed())
 		p.refresh(clock.Now())
 	})
 }
