--- a/internal/coordination/membership/heal.go
+++ b/internal/coordination/membership/heal.go
@@ -95,7 +95,7 @@
 	}
 	best := -1
 	for i, m := range h.Members {
-		if m.Voter || !h.alive(m) || h.Matched(m.Node) == 0 || h.Matched(m.Node)+CaughtUpEntries < h.Last {
+		if m.Voter || !h.alive(m) || h.MatchIndex(m.Node) == 0 || h.MatchIndex(m.Node)+CaughtUpEntries < h.Last {
 			continue
 		}
 		if best < 0 || domains[m.FailureDomain] < domains[h.Members[best].FailureDomain] {
--- a/internal/coordination/membership/heal_test.go
+++ b/internal/coordination/membership/heal_test.go
@@ -35,7 +35,7 @@
 		}
 		return 0
 	}
-	g.Matched = func(n replication.Node) uint64 {
+	g.MatchIndex = func(n replication.Node) uint64 {
 		if quiet[n] {
 			return 0
 		}
--- a/internal/coordination/membership/replicas.go
+++ b/internal/coordination/membership/replicas.go
@@ -19,8 +19,8 @@
 	Members []replication.Member
 	// Last is the index of the leader's last entry.
 	Last uint64
-	// Matched returns the highest entry durable at a member.
-	Matched func(replication.Node) uint64
+	// MatchIndex returns the highest entry durable at a member.
+	MatchIndex func(replication.Node) uint64
 	// Self is the leader, and Silent returns for how many ticks a member has not
 	// answered it; both are needed by Heal only.
 	Self   replication.Node
@@ -44,7 +44,7 @@
 	}
 	for i, m := range g.Members {
 		if !m.Voter && declaredMember(wanted, m) {
-			if g.Matched(m.Node)+CaughtUpEntries < g.Last {
+			if g.MatchIndex(m.Node)+CaughtUpEntries < g.Last {
 				return nil, "learner " + string(m.Node) + " is catching up", false
 			}
 			next = slices.Clone(g.Members)
