--- a/internal/coordination/replication/machine.go
+++ b/internal/coordination/replication/machine.go
@@ -207,7 +207,7 @@
 		m.persisted(in)
 	case Compacted:
 		m.compacted(in.Index)
-	case Undelivered:
+	case SnapshotFailed:
 		m.undelivered(in.To)
 	default:
 		panic("replication: input outside the sealed set")
--- a/internal/coordination/replication/size_test.go
+++ b/internal/coordination/replication/size_test.go
@@ -189,7 +189,7 @@
 	if sent() {
 		t.Fatal("another one was sent while the first is on its way")
 	}
-	n.step(leader, replication.Undelivered{To: late}, noCrash)
+	n.step(leader, replication.SnapshotFailed{To: late}, noCrash)
 	if !sent() {
 		t.Error("no snapshot within a heartbeat of the loss of the first")
 	}
@@ -209,7 +209,7 @@
 			}
 			n.messages = n.messages[1:]
 			sent++
-			n.step(leader, replication.Undelivered{To: late}, noCrash)
+			n.step(leader, replication.SnapshotFailed{To: late}, noCrash)
 		}
 	}
 	n.propose(leader, "x")
--- a/internal/coordination/replication/types.go
+++ b/internal/coordination/replication/types.go
@@ -142,8 +142,8 @@
 // to it may go.
 type Compacted struct{ Index uint64 }
 
-// Undelivered says that a snapshot sent to a member did not arrive there.
-type Undelivered struct{ To Node }
+// SnapshotFailed says that a snapshot sent to a member did not arrive there.
+type SnapshotFailed struct{ To Node }
 
 func (Tick) input()           {}
 func (Receive) input()        {}
@@ -153,7 +153,7 @@
 func (Resign) input()         {}
 func (Persisted) input()      {}
 func (Compacted) input()      {}
-func (Undelivered) input()    {}
+func (SnapshotFailed) input()    {}
 
 // Effect is one of Persist, Send, Apply, Restore, Appended, Refused, ReadReady
 // or RoleChanged.
--- a/internal/transport/control/network.go
+++ b/internal/transport/control/network.go
@@ -158,7 +158,7 @@
 func (r *Replica) noteUndelivered(ctx context.Context, messages []replication.Message) {
 	for _, m := range messages {
 		if m.Kind == replication.SnapshotRequest {
-			r.push(ctx, replication.Undelivered{To: m.To})
+			r.push(ctx, replication.SnapshotFailed{To: m.To})
 		}
 	}
 }
--- a/internal/transport/control/round.go
+++ b/internal/transport/control/round.go
@@ -31,7 +31,7 @@
 			r.collect(out, r.machine.Step(in))
 		case replication.Resign:
 			r.collect(out, r.machine.Step(in))
-		case replication.Undelivered:
+		case replication.SnapshotFailed:
 			r.collect(out, r.machine.Step(in))
 		case proposal:
 			commands = r.takeProposal(commands, in)
