--- a/internal/coordination/replication/machine.go
+++ b/internal/coordination/replication/machine.go
@@ -240,7 +240,7 @@
 		msg.Term = m.term
 	}
 	early := msg.Kind == AppendRequest || msg.Kind == SnapshotRequest
-	m.emit(Send{Message: msg, Early: early})
+	m.emit(Send{Message: msg, BeforeSync: early})
 }
 
 func (m *Machine) noteConfig(e Entry) {
--- a/internal/coordination/replication/network_test.go
+++ b/internal/coordination/replication/network_test.go
@@ -105,7 +105,7 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case replication.Send:
-			if e.Early {
+			if e.BeforeSync {
 				n.messages = append(n.messages, e.Message)
 			}
 		case replication.Persist, replication.Restore:
--- a/internal/coordination/replication/types.go
+++ b/internal/coordination/replication/types.go
@@ -170,8 +170,8 @@
 // Send asks for a message to be sent; losing it is allowed.
 type Send struct {
 	Message Message
-	// Early allows sending before the Persist effects of the same step are synced.
-	Early bool
+	// BeforeSync allows sending before the Persist effects of the same step are synced.
+	BeforeSync bool
 }
 
 // Apply hands over committed entries, in order, each exactly once.
--- a/internal/transport/control/effects.go
+++ b/internal/transport/control/effects.go
@@ -34,7 +34,7 @@
 		case replication.Persist:
 			out.frame = join(out.frame, e)
 		case replication.Send:
-			if e.Early {
+			if e.BeforeSync {
 				r.transmit(e.Message)
 			} else {
 				out.late = append(out.late, e.Message)
