--- a/internal/coordination/replication/machine.go
+++ b/internal/coordination/replication/machine.go
@@ -105,8 +105,8 @@
 	appended []Entry
 }
 
-// Restart is what a replica finds in its data folder.
-type Restart struct {
+// StoredState is what a replica finds in its data folder.
+type StoredState struct {
 	Term     uint64
 	Vote     Node
 	Snapshot Snapshot
@@ -114,7 +114,7 @@
 }
 
 // New returns a replica as it is after a start. seed spreads elections.
-func New(self Node, seed uint64, stored Restart) *Machine {
+func New(self Node, seed uint64, stored StoredState) *Machine {
 	m := &Machine{self: self, random: rand.New(rand.NewPCG(seed, 0x5eed))}
 	m.term = stored.Term
 	m.vote = stored.Vote
--- a/internal/coordination/replication/machine_test.go
+++ b/internal/coordination/replication/machine_test.go
@@ -39,7 +39,7 @@
 	// The disk is lost, and the leader is gone: what remains is one replica that
 	// never had the entry, and one blank.
 	n.replicas[wiped].up = false
-	n.add("blank", replication.Restart{})
+	n.add("blank", replication.StoredState{})
 	n.settle(10*rounds, without(leader, wiped))
 	if lead, ok := n.leader(without(leader, wiped)); ok {
 		t.Fatalf("%s leads without the committed entry", lead)
@@ -60,7 +60,7 @@
 	for i := range 100 {
 		n.propose(leader, fmt.Sprintf("c%d", i))
 	}
-	n.add("new", replication.Restart{})
+	n.add("new", replication.StoredState{})
 	members := slices.Clone(n.replicas[leader].machine.Members())
 	members = append(members, replication.Member{ID: 9, Node: "new"})
 	change := func(next []replication.Member) {
--- a/internal/coordination/replication/network_test.go
+++ b/internal/coordination/replication/network_test.go
@@ -10,7 +10,7 @@
 // replica is a machine with its durable storage.
 type replica struct {
 	machine *replication.Machine
-	stored  replication.Restart
+	stored  replication.StoredState
 	// applied holds every entry handed over, by index.
 	applied map[uint64]replication.Entry
 	up      bool
@@ -44,12 +44,12 @@
 		members = append(members, replication.Member{ID: uint64(i + 1), Node: replication.Node(fmt.Sprintf("n%d", i+1)), Voter: true})
 	}
 	for _, m := range members {
-		n.add(m.Node, replication.Restart{Term: 1, Snapshot: replication.Snapshot{Index: 1, Term: 1, Members: members}})
+		n.add(m.Node, replication.StoredState{Term: 1, Snapshot: replication.Snapshot{Index: 1, Term: 1, Members: members}})
 	}
 	return n
 }
 
-func (n *network) add(node replication.Node, stored replication.Restart) {
+func (n *network) add(node replication.Node, stored replication.StoredState) {
 	n.replicas[node] = &replica{stored: stored, applied: map[uint64]replication.Entry{}}
 	n.order = append(n.order, node)
 	n.restart(node)
--- a/internal/coordination/replication/power_test.go
+++ b/internal/coordination/replication/power_test.go
@@ -48,7 +48,7 @@
 		if lost&(1<<i) != 0 {
 			gone = append(gone, node)
 			n.replicas[node].up = false
-			n.add(replication.Node(fmt.Sprint("blank-", node)), replication.Restart{})
+			n.add(replication.Node(fmt.Sprint("blank-", node)), replication.StoredState{})
 			continue
 		}
 		n.restart(node)
--- a/internal/coordination/replication/random_test.go
+++ b/internal/coordination/replication/random_test.go
@@ -114,7 +114,7 @@
 	case *fresh < 6:
 		*fresh++
 		added := replication.Node(fmt.Sprintf("n%d", *fresh))
-		n.add(added, replication.Restart{})
+		n.add(added, replication.StoredState{})
 		members = append(members, replication.Member{ID: members[i].ID, Node: added})
 	}
 	n.step(node, replication.ProposeMembers{Members: members}, noCrash)
--- a/internal/coordination/replication/size_test.go
+++ b/internal/coordination/replication/size_test.go
@@ -237,7 +237,7 @@
 // What stays behind a snapshot is bounded in entries and in bytes, but the last entry stays
 // whatever its size.
 func TestBehindBoundsEntriesAndBytes(t *testing.T) {
-	stored := replication.Restart{Term: 1, Snapshot: replication.Snapshot{Index: 10, Term: 1}}
+	stored := replication.StoredState{Term: 1, Snapshot: replication.Snapshot{Index: 10, Term: 1}}
 	for i, size := range []int{5, 1, 3, 2, 9} {
 		stored.Entries = append(stored.Entries, replication.Entry{Index: uint64(11 + i), Term: 1, Kind: replication.EntryCommand, Data: make([]byte, size)})
 	}
--- a/internal/transport/control/found.go
+++ b/internal/transport/control/found.go
@@ -97,6 +97,6 @@
 		return
 	}
 	r.Ledger = empty
-	r.start(replication.Restart{Term: 1, Snapshot: s})
+	r.start(replication.StoredState{Term: 1, Snapshot: s})
 	r.Log.Info().Str("event", "founded").Int("replicas", len(in.members)).Msg("")
 }
--- a/internal/transport/control/replica.go
+++ b/internal/transport/control/replica.go
@@ -71,7 +71,7 @@
 	// Folder is the open data folder. Run closes it.
 	Folder *disk.Folder
 	// Restart is what Open read from the folder.
-	Restart replication.Restart
+	Restart replication.StoredState
 	// Ledger is the state that the folder's snapshot holds.
 	Ledger *ledger.Ledger
 	// Listener takes connections. Run closes it.
@@ -166,15 +166,15 @@
 func (lost) reply()    {}
 
 // Open opens a data folder and returns what a replica finds in it.
-func Open(path string) (*disk.Folder, replication.Restart, *ledger.Ledger, error) {
+func Open(path string) (*disk.Folder, replication.StoredState, *ledger.Ledger, error) {
 	var frames []*command.Frame
 	folder, err := disk.Open(path, func(f *command.Frame) { frames = append(frames, f) })
 	if err != nil {
-		return nil, replication.Restart{}, nil, err
+		return nil, replication.StoredState{}, nil, err
 	}
 	restart, data, err := restore(folder.Image(), frames)
 	if err != nil {
-		return nil, replication.Restart{}, nil, err
+		return nil, replication.StoredState{}, nil, err
 	}
 	l := ledger.New()
 	if data != nil {
@@ -233,7 +233,7 @@
 }
 
 // start makes the machine from what the folder holds.
-func (r *Replica) start(restart replication.Restart) {
+func (r *Replica) start(restart replication.StoredState) {
 	seed := maphash.String(maphash.MakeSeed(), r.Folder.Incarnation())
 	r.machine = replication.New(replication.Node(r.Folder.Incarnation()), seed, restart)
 	r.appliedIndex = restart.Snapshot.Index
--- a/internal/transport/control/stored.go
+++ b/internal/transport/control/stored.go
@@ -10,8 +10,8 @@
 
 // restore joins a snapshot and the frames of the log into what a replica starts
 // from. Frames written before the snapshot may still be there.
-func restore(image *command.Image, frames []*command.Frame) (replication.Restart, []byte, error) {
-	var out replication.Restart
+func restore(image *command.Image, frames []*command.Frame) (replication.StoredState, []byte, error) {
+	var out replication.StoredState
 	var data []byte
 	if image != nil {
 		out.Snapshot = replication.Snapshot{Index: image.Index, Term: image.Term, Members: fromMembers(image.Members)}
@@ -38,7 +38,7 @@
 }
 
 // place puts an entry where it belongs, replacing all from its index on.
-func place(out *replication.Restart, e replication.Entry) error {
+func place(out *replication.StoredState, e replication.Entry) error {
 	first := out.Snapshot.Index + 1
 	if e.Index < first {
 		return nil
