--- a/internal/coordination/replication/leader.go
+++ b/internal/coordination/replication/leader.go
@@ -91,7 +91,7 @@
 	var matched []uint64
 	for _, member := range m.configs.current() {
 		if member.Voter {
-			matched = append(matched, m.Matched(member.Node))
+			matched = append(matched, m.MatchIndex(member.Node))
 		}
 	}
 	if len(matched) == 0 {
--- a/internal/coordination/replication/machine.go
+++ b/internal/coordination/replication/machine.go
@@ -164,9 +164,9 @@
 // TermOf returns the term of an entry that is still in the log.
 func (m *Machine) TermOf(index uint64) (uint64, bool) { return m.log.term(index) }
 
-// Matched returns the highest entry known to be durable at a member; it is
+// MatchIndex returns the highest entry known to be durable at a member; it is
 // meaningful only while leading.
-func (m *Machine) Matched(n Node) uint64 {
+func (m *Machine) MatchIndex(n Node) uint64 {
 	if n == m.self {
 		return m.synced
 	}
--- a/internal/coordination/replication/random_test.go
+++ b/internal/coordination/replication/random_test.go
@@ -105,7 +105,7 @@
 	i := draw(len(members))
 	switch {
 	case !members[i].Voter:
-		if r.machine.Matched(members[i].Node)+4 < r.machine.LastIndex() {
+		if r.machine.MatchIndex(members[i].Node)+4 < r.machine.LastIndex() {
 			return
 		}
 		members[i].Voter = true
--- a/internal/transport/control/effects.go
+++ b/internal/transport/control/effects.go
@@ -274,7 +274,7 @@
 	if !r.machine.Leading() || !r.machine.MembersCommitted() {
 		return
 	}
-	group := membership.Group{Members: r.machine.Members(), Last: r.machine.LastIndex(), MatchIndex: r.machine.Matched}
+	group := membership.Group{Members: r.machine.Members(), Last: r.machine.LastIndex(), MatchIndex: r.machine.MatchIndex}
 	next, step, ok := r.nextMembers(group)
 	r.repair = step
 	if !ok {
--- a/internal/transport/control/network.go
+++ b/internal/transport/control/network.go
@@ -61,7 +61,7 @@
 			o.ordered.put(m)
 		}
 	case replication.AppendRequest:
-		o.sendAppend(m, m.LogIndex <= r.machine.Matched(m.To))
+		o.sendAppend(m, m.LogIndex <= r.machine.MatchIndex(m.To))
 	default:
 		o.sendBare(m, true)
 	}
--- a/internal/transport/control/view.go
+++ b/internal/transport/control/view.go
@@ -87,7 +87,7 @@
 	for _, member := range m.Members() {
 		status := &wire.ReplicaStatus{Id: member.ID, Address: member.Address, Incarnation: string(member.Node), Voter: member.Voter}
 		if m.Leading() {
-			status.Matched = m.Matched(member.Node)
+			status.Matched = m.MatchIndex(member.Node)
 		}
 		s.Replicas = append(s.Replicas, status)
 	}
