--- a/internal/coordination/replication/machine.go
+++ b/internal/coordination/replication/machine.go
@@ -351,10 +351,10 @@
 // Vote returns the candidate that has this replica's vote in the current term.
 func (m *Machine) Vote() Node { return m.vote }
 
-// Behind returns the index up to which the log may be compacted so that, of the entries up
+// CompactIndex returns the index up to which the log may be compacted so that, of the entries up
 // to high, the last ones stay: at most so many, with data of at most so many bytes or of
 // one entry.
-func (m *Machine) Behind(high uint64, entries, bytes int) uint64 {
+func (m *Machine) CompactIndex(high uint64, entries, bytes int) uint64 {
 	return m.log.behind(high, entries, bytes)
 }
 
--- a/internal/coordination/replication/size_test.go
+++ b/internal/coordination/replication/size_test.go
@@ -258,7 +258,7 @@
 		{10, 9, 100}: 10,
 	}
 	for b := range want {
-		got[b] = m.Behind(b.high, b.entries, b.bytes)
+		got[b] = m.CompactIndex(b.high, b.entries, b.bytes)
 	}
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(bound{})); diff != "" {
 		t.Fatal(diff)
--- a/internal/transport/control/effects.go
+++ b/internal/transport/control/effects.go
@@ -235,7 +235,7 @@
 		r.noteDisk(err)
 		return
 	}
-	cut := r.machine.Behind(index, keptEntries, keptBytes)
+	cut := r.machine.CompactIndex(index, keptEntries, keptBytes)
 	r.rewrite(index)
 	if cut > r.machine.SnapshotIndex() {
 		r.machine.Step(replication.Compacted{Index: cut})
