--- a/internal/coordination/membership/domains.go
+++ b/internal/coordination/membership/domains.go
@@ -190,7 +190,9 @@
 }
 
 // DomainRequest returns a message that asks for failure domains.
-func (e *Entries) DomainRequest(ids []uint32) Gossip { return Gossip{States: []EntryState{e.self}, Requested: ids} }
+func (e *Entries) DomainRequest(ids []uint32) Gossip {
+	return Gossip{States: []EntryState{e.self}, Requested: ids}
+}
 
 // Contacts returns the live entries of the failure domains that near accepts, this
 // entry's own domain always among them, by name.
--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -62,7 +62,7 @@
 	// DomainHeartbeats tell of the failure domains, Domains of those that were asked for,
 	// and Asked asks for some.
 	DomainHeartbeats []DomainHeartbeat
-	Domains      []DomainState
+	Domains          []DomainState
 	Requested        []uint32
 }
 
--- a/internal/coordination/replication/types.go
+++ b/internal/coordination/replication/types.go
@@ -153,7 +153,7 @@
 func (Resign) input()         {}
 func (Persisted) input()      {}
 func (Compacted) input()      {}
-func (SnapshotFailed) input()    {}
+func (SnapshotFailed) input() {}
 
 // Effect is one of Persist, Send, Apply, Restore, Appended, Refused, ReadReady
 // or RoleChanged.
