--- a/internal/coordination/suspects/suspects.go
+++ b/internal/coordination/suspects/suspects.go
@@ -139,15 +139,15 @@
 	return out
 }
 
-// Book is what one control instance was told. Make one with New. It is not safe for concurrent use.
-type Book struct {
+// Detector is what one control instance was told. Make one with New. It is not safe for concurrent use.
+type Detector struct {
 	instances map[registry.Incarnation]*suspect
 	services  map[string]*service
 }
 
 // New returns a book that was told nothing.
-func New() *Book {
-	return &Book{instances: map[registry.Incarnation]*suspect{}, services: map[string]*service{}}
+func New() *Detector {
+	return &Detector{instances: map[registry.Incarnation]*suspect{}, services: map[string]*service{}}
 }
 
 // suspect is an instance at which requests failed lately.
@@ -181,7 +181,7 @@
 const expectedWeight = 0.1
 
 // Take joins a report of an entry.
-func (b *Book) Take(reports []Failures, now time.Time) {
+func (b *Detector) Take(reports []Failures, now time.Time) {
 	for _, f := range reports {
 		s := b.services[f.Service]
 		if s == nil {
@@ -214,7 +214,7 @@
 
 // Left returns the instances that are to be left alone, as entries so many, in the order of their ids.
 // It forgets what is old.
-func (b *Book) Left(entries int, now time.Time) []registry.Incarnation {
+func (b *Detector) Left(entries int, now time.Time) []registry.Incarnation {
 	failed := map[string][]int{}
 	for of, k := range b.instances {
 		k.forget(now)
--- a/internal/transport/fleet/source.go
+++ b/internal/transport/fleet/source.go
@@ -73,7 +73,7 @@
 	facts *quarantine.Book
 	// suspects holds what entries told of requests that failed, and failing the instances that fail
 	// by that.
-	suspects *suspects.Book
+	suspects *suspects.Detector
 	failing  []registry.Incarnation
 	// news is true while something has changed since the last telling, which was at toldAt and up
 	// to told: whoever knows that much waits for the next one.
