--- a/internal/coordination/suspects/replay_test.go
+++ b/internal/coordination/suspects/replay_test.go
@@ -97,7 +97,7 @@
 			}
 			next := map[registry.Incarnation]bool{}
 			coming = append(coming, judgement{judgeAt + told, next})
-			for _, of := range book.Left(w.entries, start.Add(judgeAt)) {
+			for _, of := range book.Ejected(w.entries, start.Add(judgeAt)) {
 				next[of] = true
 				if !w.first(of) {
 					out.innocents++
--- a/internal/coordination/suspects/suspects.go
+++ b/internal/coordination/suspects/suspects.go
@@ -212,9 +212,9 @@
 	k.told = append(k.told, told{now, f.Count, f.Teams})
 }
 
-// Left returns the instances that are to be left alone, as entries so many, in the order of their ids.
+// Ejected returns the instances that are to be left alone, as entries so many, in the order of their ids.
 // It forgets what is old.
-func (b *Detector) Left(entries int, now time.Time) []registry.Incarnation {
+func (b *Detector) Ejected(entries int, now time.Time) []registry.Incarnation {
 	failed := map[string][]int{}
 	for of, k := range b.instances {
 		k.forget(now)
--- a/internal/transport/fleet/failures.go
+++ b/internal/transport/fleet/failures.go
@@ -18,7 +18,7 @@
 // judge sets the instances that fail by what entries told, and reports whether they changed; mu must
 // be held.
 func (s *Source) judge(now time.Time) bool {
-	failing := s.suspects.Left(s.countEntries(), now)
+	failing := s.suspects.Ejected(s.countEntries(), now)
 	if slices.Equal(s.failing, failing) {
 		return false
 	}
