--- a/internal/coordination/suspects/suspects.go
+++ b/internal/coordination/suspects/suspects.go
@@ -180,8 +180,8 @@
 // expectedWeight is the weight of what one entry says of its use.
 const expectedWeight = 0.1
 
-// Take joins a report of an entry.
-func (b *Detector) Take(reports []Failures, now time.Time) {
+// Add joins a report of an entry.
+func (b *Detector) Add(reports []Failures, now time.Time) {
 	for _, f := range reports {
 		s := b.services[f.Service]
 		if s == nil {
