--- a/internal/coordination/suspects/replay_test.go
+++ b/internal/coordination/suspects/replay_test.go
@@ -115,7 +115,7 @@
 		if !ok {
 			continue
 		}
-		collectors[e].Request("s", team, clock)
+		collectors[e].RecordRequest("s", team, clock)
 		boards[e].Begin(in, clock)
 		boards[e].Heard(in.Incarnation(), clock)
 		ill := w.isSick(in.Incarnation(), at) && random.Float64() < w.sickShare
--- a/internal/coordination/suspects/suspects.go
+++ b/internal/coordination/suspects/suspects.go
@@ -88,8 +88,8 @@
 	return &Collector{services: map[string]*use{}, failures: map[registry.Incarnation]*Failures{}}
 }
 
-// Request notes that a request goes to an instance of a service.
-func (c *Collector) Request(service, team string, now time.Time) {
+// RecordRequest notes that a request goes to an instance of a service.
+func (c *Collector) RecordRequest(service, team string, now time.Time) {
 	u := c.services[service]
 	if u == nil {
 		u = &use{at: now}
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -99,7 +99,7 @@
 	}
 	board.Begin(in, now)
 	j.server.Metrics.begin(j.service, j.condition)
-	j.server.failures.Request(j.service, j.team.Name, now)
+	j.server.failures.RecordRequest(j.service, j.team.Name, now)
 	if wish.Tokens > 0 {
 		board.Sent(in.Incarnation(), wish, now)
 	}
