--- a/internal/coordination/suspects/replay_test.go
+++ b/internal/coordination/suspects/replay_test.go
@@ -122,7 +122,7 @@
 		failed := ill || isHostile || random.Float64() < w.natural
 		boards[e].End(in.Incarnation(), balance.Result{Failed: failed, Latency: 60 * time.Millisecond}, clock)
 		if failed {
-			collectors[e].Failed(in, team, w.instances, clock)
+			collectors[e].RecordFailure(in, team, w.instances, clock)
 		}
 		if ill && !wish.Repeats {
 			out.lost++
--- a/internal/coordination/suspects/suspects.go
+++ b/internal/coordination/suspects/suspects.go
@@ -106,8 +106,8 @@
 	u.at = now
 }
 
-// Failed notes that a request of a team failed at one of a service's instances.
-func (c *Collector) Failed(in registry.Instance, team string, instances int, now time.Time) {
+// RecordFailure notes that a request of a team failed at one of a service's instances.
+func (c *Collector) RecordFailure(in registry.Instance, team string, instances int, now time.Time) {
 	of := in.Incarnation()
 	f := c.failures[of]
 	if f == nil {
--- a/internal/transport/serving/serving.go
+++ b/internal/transport/serving/serving.go
@@ -172,7 +172,7 @@
 
 // noteFailed notes that a request of a team failed at an instance; mu must be held.
 func (s *Server) noteFailed(in registry.Instance, team string) {
-	s.failures.Failed(in, team, len(s.View().Instances[in.Service]), clock.Now())
+	s.failures.RecordFailure(in, team, len(s.View().Instances[in.Service]), clock.Now())
 	select {
 	case s.failed <- struct{}{}:
 	default:
