--- a/internal/coordination/suspects/replay_test.go
+++ b/internal/coordination/suspects/replay_test.go
@@ -93,7 +93,7 @@
 				continue
 			}
 			for _, c := range collectors {
-				book.Add(c.Take(), start.Add(judgeAt))
+				book.Add(c.Drain(), start.Add(judgeAt))
 			}
 			next := map[registry.Incarnation]bool{}
 			coming = append(coming, judgement{judgeAt + told, next})
--- a/internal/coordination/suspects/suspects.go
+++ b/internal/coordination/suspects/suspects.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Take returns what was gathered since the last call.
-func (c *Collector) Take() []Failures {
+// Drain returns what was gathered since the last call.
+func (c *Collector) Drain() []Failures {
 	var out []Failures
 	for _, f := range c.failures {
 		out = append(out, *f)
--- a/internal/transport/serving/serving.go
+++ b/internal/transport/serving/serving.go
@@ -167,7 +167,7 @@
 	s.init()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failures.Take()
+	return s.failures.Drain()
 }
 
 // noteFailed notes that a request of a team failed at an instance; mu must be held.
