--- a/internal/coordination/suspects/suspects.go
+++ b/internal/coordination/suspects/suspects.go
@@ -53,7 +53,7 @@
 
 // Failures is what one entry saw of one instance since its last report.
 type Failures struct {
-	Of      registry.Incarnation
+	Target  registry.Incarnation
 	Service string
 	// Count is how many requests failed there, at most one for each team.
 	Count int
@@ -114,7 +114,7 @@
 		if len(c.failures) >= mostReported {
 			return
 		}
-		f = &Failures{Of: of, Service: in.Service}
+		f = &Failures{Target: of, Service: in.Service}
 		c.failures[of] = f
 	}
 	if bit := TeamBit(team); f.Teams&bit == 0 {
@@ -192,10 +192,10 @@
 		s.instances = f.Instances
 		s.teams |= f.AllTeams
 		s.last = now
-		k := b.instances[f.Of]
+		k := b.instances[f.Target]
 		if k == nil {
 			k = &suspect{service: f.Service}
-			b.instances[f.Of] = k
+			b.instances[f.Target] = k
 		}
 		k.take(f, now)
 	}
--- a/internal/transport/fleet/failures.go
+++ b/internal/transport/fleet/failures.go
@@ -119,7 +119,7 @@
 	var out []*wire.InstanceFailures
 	for _, f := range list {
 		out = append(out, &wire.InstanceFailures{
-			Instance: f.Of.ID, Start: int64(f.Of.Start), Service: f.Service, Count: uint32(f.Count), Teams: f.Teams,
+			Instance: f.Target.ID, Start: int64(f.Target.Start), Service: f.Service, Count: uint32(f.Count), Teams: f.Teams,
 			Expected: float32(f.Expected), Instances: uint32(f.Instances), AllTeams: f.AllTeams,
 		})
 	}
@@ -130,7 +130,7 @@
 	var out []suspects.Failures
 	for _, f := range list {
 		out = append(out, suspects.Failures{
-			Of: registry.Incarnation{ID: f.Instance, Start: registry.Start(f.Start)}, Service: f.Service, Count: int(f.Count), Teams: f.Teams,
+			Target: registry.Incarnation{ID: f.Instance, Start: registry.Start(f.Start)}, Service: f.Service, Count: int(f.Count), Teams: f.Teams,
 			Expected: float64(f.Expected), Instances: int(f.Instances), AllTeams: f.AllTeams,
 		})
 	}
--- a/internal/transport/fleet/tell_test.go
+++ b/internal/transport/fleet/tell_test.go
@@ -63,7 +63,7 @@
 	f := &fleet.Follower{
 		Name: "e", Entry: true, Heartbeat: heartbeat, Ends: tracker, Log: quiet, Failed: failed,
 		Failures: func() []suspects.Failures {
-			return []suspects.Failures{{Of: registry.Incarnation{ID: "x"}, Service: "s", Count: 1, Teams: 1, Expected: 1, Instances: 1, AllTeams: 1}}
+			return []suspects.Failures{{Target: registry.Incarnation{ID: "x"}, Service: "s", Count: 1, Teams: 1, Expected: 1, Instances: 1, AllTeams: 1}}
 		},
 		Seeds: func() []string { return []string{s.address} }, Decode: decodeRoutes,
 	}
