--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -126,8 +126,8 @@
 	return true
 }
 
-// Borrowed adds a loan.
-func (b *Borrower) Borrowed(team string, l Loan, now time.Time) {
+// AddLoan adds a loan.
+func (b *Borrower) AddLoan(team string, l Loan, now time.Time) {
 	if l.Tokens <= 0 {
 		return
 	}
--- a/internal/coordination/limits/limits_test.go
+++ b/internal/coordination/limits/limits_test.go
@@ -39,7 +39,7 @@
 			admitted += b.TakeOwn("team", perSecond/entries, cost, now).Tokens
 		default:
 			asked++
-			b.Borrowed("team", lender.Lend("team", perSecond, cost, now), now)
+			b.AddLoan("team", lender.Lend("team", perSecond, cost, now), now)
 			if b.Take("team", cost, now) {
 				admitted += cost
 			}
@@ -110,7 +110,7 @@
 func TestLoansEnd(t *testing.T) {
 	b := limits.NewBorrower()
 	now := time.Unix(1000, 0)
-	b.Borrowed("team", limits.Loan{Tokens: 100}, now)
+	b.AddLoan("team", limits.Loan{Tokens: 100}, now)
 	got := fmt.Sprint(b.Take("team", 40, now), b.Take("other", 1, now), b.Take("team", 40, now.Add(3*time.Second)))
 	if got != "true false false" {
 		t.Fatal(got)
--- a/internal/transport/entry/rate.go
+++ b/internal/transport/entry/rate.go
@@ -21,7 +21,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := clock.Now()
-	e.borrower.Borrowed(team, loan, now)
+	e.borrower.AddLoan(team, loan, now)
 	if e.borrower.Take(team, cost, now) {
 		return nil, true
 	}
