--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -139,8 +139,8 @@
 	c.until = now.Add(loanTime)
 }
 
-// TakeOwn spends this entry's own part of the rate, while the owner is out of reach.
-func (b *Borrower) TakeOwn(team string, perSecond, cost float64, now time.Time) Loan {
+// TakeLocal spends this entry's own part of the rate, while the owner is out of reach.
+func (b *Borrower) TakeLocal(team string, perSecond, cost float64, now time.Time) Loan {
 	c := b.credit(team)
 	c.own.set(perSecond, cost, now)
 	if !c.own.limiter.AllowN(now, ceil(cost)) {
--- a/internal/coordination/limits/limits_test.go
+++ b/internal/coordination/limits/limits_test.go
@@ -36,7 +36,7 @@
 		case b.Take("team", cost, now):
 			admitted += cost
 		case !reach(i):
-			admitted += b.TakeOwn("team", perSecond/entries, cost, now).Tokens
+			admitted += b.TakeLocal("team", perSecond/entries, cost, now).Tokens
 		default:
 			asked++
 			b.AddLoan("team", lender.Lend("team", perSecond, cost, now), now)
--- a/internal/transport/entry/rate.go
+++ b/internal/transport/entry/rate.go
@@ -78,7 +78,7 @@
 	perSecond *= slotShare(e.state.Load(), e.FailureDomain, func(domain string) bool { return domain == e.FailureDomain })
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.borrower.TakeOwn(team.Name(), perSecond, cost, clock.Now())
+	return e.borrower.TakeLocal(team.Name(), perSecond, cost, clock.Now())
 }
 
 // slotShare is the part of a region's declared slots that lies in some of its failure domains.
