--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -81,9 +81,9 @@
 // Finish says that a started request has ended.
 type Finish struct{ ID uint64 }
 
-// Withdraw says that a waiting request is of no more use. For a request that is
+// Cancel says that a waiting request is of no more use. For a request that is
 // not waiting it does nothing.
-type Withdraw struct{ ID uint64 }
+type Cancel struct{ ID uint64 }
 
 // Resize sets how many requests run at once, and how many wait. Closed says that nothing can run until
 // operators change that: whoever waits, or arrives meanwhile, is refused.
@@ -92,10 +92,10 @@
 	Closed           bool
 }
 
-func (Arrive) input()   {}
-func (Finish) input()   {}
-func (Withdraw) input() {}
-func (Resize) input()   {}
+func (Arrive) input() {}
+func (Finish) input() {}
+func (Cancel) input() {}
+func (Resize) input() {}
 
 // Effect is one of Start or Refuse.
 type Effect interface{ effect() }
@@ -177,7 +177,7 @@
 		q.arrive(in, now)
 	case Finish:
 		q.finish(in, now)
-	case Withdraw:
+	case Cancel:
 		q.withdraw(in.ID)
 	case Resize:
 		q.maxRunning = in.Running
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -190,7 +190,7 @@
 			}
 			if rapid.IntRange(0, 5).Draw(t, "withdraw") == 0 {
 				victim := waiting[rapid.IntRange(0, len(waiting)-1).Draw(t, "victim")]
-				note(q.Step(admission.Withdraw{ID: victim}, now))
+				note(q.Step(admission.Cancel{ID: victim}, now))
 				if ended[victim] == "" {
 					ended[victim] = "withdrawn"
 				}
--- a/internal/transport/entry/callers.go
+++ b/internal/transport/entry/callers.go
@@ -238,7 +238,7 @@
 	default:
 	}
 	delete(e.waiting, id)
-	e.carry(e.queue.Step(admission.Withdraw{ID: id}, clock.Now()))
+	e.carry(e.queue.Step(admission.Cancel{ID: id}, clock.Now()))
 	return nil
 }
 
