--- a/internal/coordination/balance/admit.go
+++ b/internal/coordination/balance/admit.go
@@ -24,7 +24,7 @@
 // would come late. Of long prompts in a burst of 16 s at 9 engines a quarter was in time, and
 // three fifths of them with this; without the part for the other entries, 79 of them at 60
 // engines still sent to each engine with room at once (0.47 in time, with it 0.58).
-func (b *Board) Admit(instances []registry.Instance, w Wish, now time.Time) (room int, ok bool) {
+func (b *Balancer) Admit(instances []registry.Instance, w Wish, now time.Time) (room int, ok bool) {
 	if !w.Long() {
 		return 0, true
 	}
@@ -53,7 +53,7 @@
 }
 
 // noteDemand counts the tokens of a long prompt, whatever becomes of it.
-func (b *Board) noteDemand(tokens int, now time.Time) {
+func (b *Balancer) noteDemand(tokens int, now time.Time) {
 	past := now.Sub(b.demandAt).Seconds() / demandOver.Seconds()
 	b.demand = b.demand*math.Exp(-past) + float64(tokens)
 	b.demandAt = now
@@ -64,6 +64,6 @@
 
 // othersDemand estimates how many tokens of long prompts the other entries have sent since
 // engines told their load, as many each as this one.
-func (b *Board) othersDemand(w Wish) float64 {
+func (b *Balancer) othersDemand(w Wish) float64 {
 	return b.demand / demandOver.Seconds() * w.untold().Seconds() * float64(max(w.Entries, 1)-1)
 }
--- a/internal/coordination/balance/balance.go
+++ b/internal/coordination/balance/balance.go
@@ -64,8 +64,8 @@
 	return l.inFlight > 0 && now.Sub(l.heard) > max(least, time.Duration(times)*usual)
 }
 
-// Board holds the loads. Make one with New. It is not safe for concurrent use.
-type Board struct {
+// Balancer holds the loads. Make one with New. It is not safe for concurrent use.
+type Balancer struct {
 	random  *rand.Rand
 	loads   map[registry.Incarnation]*load
 	domains map[string]*domain
@@ -79,12 +79,12 @@
 }
 
 // New returns an empty board.
-func New(seed uint64) *Board {
-	return &Board{random: rand.New(rand.NewPCG(seed, 0xba1a)), loads: map[registry.Incarnation]*load{}, domains: map[string]*domain{}}
+func New(seed uint64) *Balancer {
+	return &Balancer{random: rand.New(rand.NewPCG(seed, 0xba1a)), loads: map[registry.Incarnation]*load{}, domains: map[string]*domain{}}
 }
 
 // load returns what is known of an incarnation. Nothing of it passes to the next one of its id.
-func (b *Board) load(of registry.Incarnation) *load {
+func (b *Balancer) load(of registry.Incarnation) *load {
 	l, ok := b.loads[of]
 	if !ok {
 		l = &load{latency: firstLatency}
@@ -94,7 +94,7 @@
 }
 
 // Begin notes that a request goes to an instance.
-func (b *Board) Begin(in registry.Instance, now time.Time) {
+func (b *Balancer) Begin(in registry.Instance, now time.Time) {
 	l := b.load(in.Incarnation())
 	l.domain = in.FailureDomain
 	d := b.domain(l.domain)
@@ -109,7 +109,7 @@
 }
 
 // Heard notes that an instance answered a request, though the answer may go on.
-func (b *Board) Heard(from registry.Incarnation, now time.Time) {
+func (b *Balancer) Heard(from registry.Incarnation, now time.Time) {
 	l := b.load(from)
 	l.heard = now
 	b.domain(l.domain).hear(now)
@@ -128,7 +128,7 @@
 }
 
 // End notes the end of a request.
-func (b *Board) End(at registry.Incarnation, r Result, now time.Time) {
+func (b *Balancer) End(at registry.Incarnation, r Result, now time.Time) {
 	l := b.load(at)
 	l.inFlight--
 	l.seen = now
@@ -157,7 +157,7 @@
 
 // Forget drops what is known of instances that were not used lately, and of the failure domains
 // that have no other.
-func (b *Board) Forget(before time.Time) {
+func (b *Balancer) Forget(before time.Time) {
 	known := len(b.loads) + len(b.domains)
 	used := map[string]bool{}
 	for of, l := range b.loads {
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -24,7 +24,7 @@
 // life is the incarnation of an instance that never started again.
 func life(id string) registry.Incarnation { return registry.Incarnation{ID: id} }
 
-func pick(t *testing.T, b *balance.Board, in []registry.Instance, w balance.Wish) string {
+func pick(t *testing.T, b *balance.Balancer, in []registry.Instance, w balance.Wish) string {
 	t.Helper()
 	got, ok := b.Pick(in, w, now)
 	if !ok {
--- a/internal/coordination/balance/burst_test.go
+++ b/internal/coordination/balance/burst_test.go
@@ -97,7 +97,7 @@
 	policy  policy
 	engines map[string]*replayEngine
 	all     []registry.Instance
-	boards  []*balance.Board
+	boards  []*balance.Balancer
 	random  *rand.Rand
 	// pause is how often engines are asked.
 	pause time.Duration
--- a/internal/coordination/balance/candidates.go
+++ b/internal/coordination/balance/candidates.go
@@ -39,7 +39,7 @@
 }
 
 // roster returns some instances prepared for choices. The list must not be written to later.
-func (b *Board) roster(instances []registry.Instance, now time.Time) *roster {
+func (b *Balancer) roster(instances []registry.Instance, now time.Time) *roster {
 	if len(instances) == 0 {
 		return &roster{}
 	}
--- a/internal/coordination/balance/cold.go
+++ b/internal/coordination/balance/cold.go
@@ -100,7 +100,7 @@
 
 // NoteCold takes what an answer of an instance says of until when it is cold, which may be before
 // its next heartbeat does.
-func (b *Board) NoteCold(of registry.Incarnation, until time.Time) {
+func (b *Balancer) NoteCold(of registry.Incarnation, until time.Time) {
 	l := b.load(of)
 	l.coldUntil = latest(l.coldUntil, until)
 }
--- a/internal/coordination/balance/cold_replay_test.go
+++ b/internal/coordination/balance/cold_replay_test.go
@@ -44,7 +44,7 @@
 // how many it got in a second in the mean.
 func (r coldReplay) play(seed uint64) (most int, mean float64) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	var boards []*balance.Board
+	var boards []*balance.Balancer
 	late := make([]time.Duration, r.entries)
 	for n := range r.entries {
 		boards = append(boards, balance.New(seed*uint64(r.entries)+uint64(n)))
--- a/internal/coordination/balance/cold_test.go
+++ b/internal/coordination/balance/cold_test.go
@@ -16,7 +16,7 @@
 	const entries, rate, bears, most = 76, 1400, 14, 26
 	for _, keyed := range []bool{true, false} {
 		for seed := range uint64(5) {
-			var boards []*balance.Board
+			var boards []*balance.Balancer
 			for n := range uint64(entries) {
 				boards = append(boards, balance.New(seed*entries+n))
 			}
--- a/internal/coordination/balance/condition.go
+++ b/internal/coordination/balance/condition.go
@@ -27,7 +27,7 @@
 
 // NoteRest takes that an instance wants no request from this entry until some time, and reports whether it
 // wanted none already. An earlier end takes nothing back.
-func (b *Board) NoteRest(of registry.Incarnation, until, now time.Time) (began bool) {
+func (b *Balancer) NoteRest(of registry.Incarnation, until, now time.Time) (began bool) {
 	l := b.load(of)
 	began = !now.Before(l.restUntil)
 	l.restUntil = latest(l.restUntil, until)
@@ -35,12 +35,12 @@
 }
 
 // RestLeft returns for how long an instance wants no request from this entry, or 0.
-func (b *Board) RestLeft(of registry.Incarnation, now time.Time) time.Duration {
+func (b *Balancer) RestLeft(of registry.Incarnation, now time.Time) time.Duration {
 	return max(0, b.load(of).restUntil.Sub(now))
 }
 
 // NoteLeaving takes that an instance will end, and reports whether that is news.
-func (b *Board) NoteLeaving(of registry.Incarnation) (news bool) {
+func (b *Balancer) NoteLeaving(of registry.Incarnation) (news bool) {
 	l := b.load(of)
 	news = !l.leaving
 	l.leaving = true
@@ -48,7 +48,7 @@
 }
 
 // Leaving reports whether an instance said that it will end.
-func (b *Board) Leaving(of registry.Incarnation) bool { return b.load(of).leaving }
+func (b *Balancer) Leaving(of registry.Incarnation) bool { return b.load(of).leaving }
 
 // rests reports whether an instance wants no request from this entry now.
 func (c *condition) rests(now time.Time) bool { return now.Before(c.restUntil) }
@@ -68,7 +68,7 @@
 
 // HeldBack returns what holds a request back for which Pick finds none of some instances, or nil when
 // that is nothing that they said of themselves.
-func (b *Board) HeldBack(instances []registry.Instance, w Wish, now time.Time) HeldBack {
+func (b *Balancer) HeldBack(instances []registry.Instance, w Wish, now time.Time) HeldBack {
 	var first HeldBack
 	var least time.Duration
 	r := b.roster(instances, now)
--- a/internal/coordination/balance/condition_test.go
+++ b/internal/coordination/balance/condition_test.go
@@ -18,32 +18,32 @@
 	at := func(s int) time.Time { return now.Add(time.Duration(s) * time.Second) }
 	for _, c := range []struct {
 		name  string
-		say   func(b *balance.Board)
+		say   func(b *balance.Balancer)
 		among []registry.Instance
 		wish  balance.Wish
 		want  balance.HeldBack
 	}{
-		{"a limit", func(b *balance.Board) {
+		{"a limit", func(b *balance.Balancer) {
 			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
 			b.Pick(both[:1], balance.Wish{}, at(0))
 		}, both[:1], balance.Wish{}, balance.Limited{Left: 7 * time.Second}},
-		{"a limit that was taken back", func(b *balance.Board) {
+		{"a limit that was taken back", func(b *balance.Balancer) {
 			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
 			b.NoteNoLimit(limited.Incarnation(), at(1))
 		}, both[:1], balance.Wish{}, nil},
-		{"another entry's turn", func(b *balance.Board) { b.NoteLimit(limited.Incarnation(), 0.5, at(0)) }, both[:1], balance.Wish{Entries: 300, Rank: 17}, balance.Limited{Left: 2 * time.Second}},
-		{"rest", func(b *balance.Board) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.Wish{}, balance.Resting{Left: 2 * time.Second}},
-		{"a shorter rest later", func(b *balance.Board) {
+		{"another entry's turn", func(b *balance.Balancer) { b.NoteLimit(limited.Incarnation(), 0.5, at(0)) }, both[:1], balance.Wish{Entries: 300, Rank: 17}, balance.Limited{Left: 2 * time.Second}},
+		{"rest", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.Wish{}, balance.Resting{Left: 2 * time.Second}},
+		{"a shorter rest later", func(b *balance.Balancer) {
 			b.NoteRest(tired.Incarnation(), at(5), at(0))
 			b.NoteRest(tired.Incarnation(), at(4), at(1))
 		}, both[1:], balance.Wish{}, balance.Resting{Left: 2 * time.Second}},
-		{"the first of both", func(b *balance.Board) {
+		{"the first of both", func(b *balance.Balancer) {
 			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
 			b.Pick(both[:1], balance.Wish{}, at(0))
 			b.NoteRest(tired.Incarnation(), at(5), at(0))
 		}, both, balance.Wish{}, balance.Resting{Left: 2 * time.Second}},
-		{"one that was tried", func(b *balance.Board) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.Wish{Tried: []registry.Incarnation{tired.Incarnation()}}, nil},
-		{"rest that is over", func(b *balance.Board) { b.NoteRest(tired.Incarnation(), at(3), at(0)) }, both[1:], balance.Wish{}, nil},
+		{"one that was tried", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.Wish{Tried: []registry.Incarnation{tired.Incarnation()}}, nil},
+		{"rest that is over", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(3), at(0)) }, both[1:], balance.Wish{}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := balance.New(1)
--- a/internal/coordination/balance/domains.go
+++ b/internal/coordination/balance/domains.go
@@ -43,7 +43,7 @@
 	dark      bool
 }
 
-func (b *Board) domain(name string) *domain {
+func (b *Balancer) domain(name string) *domain {
 	d, ok := b.domains[name]
 	if !ok {
 		d = &domain{name: name, unreached: map[registry.Incarnation]bool{}}
--- a/internal/coordination/balance/domains_test.go
+++ b/internal/coordination/balance/domains_test.go
@@ -22,7 +22,7 @@
 
 // cutOff sends requests with differing keys, of which those to one failure domain get no
 // answer; it returns how many went to each, and what ends those that wait.
-func cutOff(b *balance.Board, w balance.Wish, requests int, cut string, at time.Time) (got map[string]int, giveUp func(time.Time)) {
+func cutOff(b *balance.Balancer, w balance.Wish, requests int, cut string, at time.Time) (got map[string]int, giveUp func(time.Time)) {
 	got = map[string]int{}
 	var waiting []registry.Incarnation
 	for n := range requests {
--- a/internal/coordination/balance/evacuation_test.go
+++ b/internal/coordination/balance/evacuation_test.go
@@ -51,7 +51,7 @@
 func TestReturnedDomainCountsAsCold(t *testing.T) {
 	const entries, rate, cold = 20, 400, 3 * time.Second
 	all := spread()
-	var boards []*balance.Board
+	var boards []*balance.Balancer
 	for n := range uint64(entries) {
 		boards = append(boards, balance.New(n))
 	}
--- a/internal/coordination/balance/limit.go
+++ b/internal/coordination/balance/limit.go
@@ -39,20 +39,20 @@
 
 // NoteLimit takes the limit that an instance named in an answer, and reports whether it is another one
 // than was known.
-func (b *Board) NoteLimit(of registry.Incarnation, perSecond float64, now time.Time) (changed bool) {
+func (b *Balancer) NoteLimit(of registry.Incarnation, perSecond float64, now time.Time) (changed bool) {
 	return b.load(of).note(Limit{Named: true, PerSecond: perSecond, At: now})
 }
 
 // NoteNoLimit takes that an instance named no limit in the answer to a request that was sent at some
 // time, and reports whether one was known. An answer may be overtaken by a later one that names a limit,
 // so only a request that was sent after the limit was heard takes it back.
-func (b *Board) NoteNoLimit(of registry.Incarnation, sent time.Time) (changed bool) {
+func (b *Balancer) NoteNoLimit(of registry.Incarnation, sent time.Time) (changed bool) {
 	return b.load(of).note(Limit{At: sent})
 }
 
 // NoteUnreadableLimit takes that an instance named a limit that does not read; the one that is known
 // holds on. It reports whether the last word was readable.
-func (b *Board) NoteUnreadableLimit(of registry.Incarnation) (changed bool) {
+func (b *Balancer) NoteUnreadableLimit(of registry.Incarnation) (changed bool) {
 	l := b.load(of)
 	changed = !l.limitUnreadable
 	l.limitUnreadable = true
@@ -60,7 +60,7 @@
 }
 
 // Limit returns what is known of an instance's limit.
-func (b *Board) Limit(of registry.Incarnation) Limit { return b.load(of).limit }
+func (b *Balancer) Limit(of registry.Incarnation) Limit { return b.load(of).limit }
 
 // note takes a word on the limit.
 func (l *load) note(word Limit) (changed bool) {
--- a/internal/coordination/balance/limit_replay_test.go
+++ b/internal/coordination/balance/limit_replay_test.go
@@ -60,7 +60,7 @@
 
 // limitEntry is one entry of a replay.
 type limitEntry struct {
-	board *balance.Board
+	board *balance.Balancer
 	// told is when it was told of the limit, or zero.
 	told time.Time
 	// next is when an entry that shares equally may send again.
--- a/internal/coordination/balance/limit_test.go
+++ b/internal/coordination/balance/limit_test.go
@@ -13,13 +13,13 @@
 
 // limitedBoard is a board of one entry among some, with one instance that may name a limit.
 type limitedBoard struct {
-	*balance.Board
+	*balance.Balancer
 	in   registry.Instance
 	wish balance.Wish
 }
 
 func newLimitedBoard(entries int) *limitedBoard {
-	return &limitedBoard{Board: balance.New(1), in: registry.Instance{ID: "few", Slots: 4}, wish: balance.Wish{Entries: entries}}
+	return &limitedBoard{Balancer: balance.New(1), in: registry.Instance{ID: "few", Slots: 4}, wish: balance.Wish{Entries: entries}}
 }
 
 // sendFor asks for an instance each 10 ms for some time, and returns how often there was one.
--- a/internal/coordination/balance/pick.go
+++ b/internal/coordination/balance/pick.go
@@ -64,7 +64,7 @@
 
 // Pick chooses an instance; ok is false when there is none that was not tried. The list must not
 // be written to later.
-func (b *Board) Pick(instances []registry.Instance, w Wish, now time.Time) (chosen registry.Instance, ok bool) {
+func (b *Balancer) Pick(instances []registry.Instance, w Wish, now time.Time) (chosen registry.Instance, ok bool) {
 	open := b.open(b.roster(instances, now), w, now)
 	if c := b.scratch.probe; c != nil {
 		c.load.probeNext = now.Add(probeFailing)
@@ -89,7 +89,7 @@
 // open leaves out what was tried, what is evacuated, what leaves or asked for rest and what takes no
 // more, and also what is busy, silent, cut off or failed lately unless nothing else is left. The list
 // holds until the next choice.
-func (b *Board) open(r *roster, w Wish, now time.Time) []*candidate {
+func (b *Balancer) open(r *roster, w Wish, now time.Time) []*candidate {
 	sound, rest := b.scratch.sound[:0], b.scratch.rest[:0]
 	b.scratch.probe = nil
 	r.markEvacuated(w)
@@ -119,7 +119,7 @@
 }
 
 // preferNewer keeps the instances with the wanted weights for most requests.
-func (b *Board) preferNewer(open []*candidate, w Wish) []*candidate {
+func (b *Balancer) preferNewer(open []*candidate, w Wish) []*candidate {
 	if w.Weights == 0 {
 		return open
 	}
@@ -138,7 +138,7 @@
 }
 
 // pickByKey takes the first instance in the key's rank whose load is within the bound.
-func (b *Board) pickByKey(open []*candidate, key uint64) *candidate {
+func (b *Balancer) pickByKey(open []*candidate, key uint64) *candidate {
 	total := 0
 	for _, c := range open {
 		total += c.load.inFlight
@@ -171,7 +171,7 @@
 
 // pickByWait takes the instance with the shortest expected wait; a share of failures
 // counts as time lost.
-func (b *Board) pickByWait(open []*candidate) *candidate {
+func (b *Balancer) pickByWait(open []*candidate) *candidate {
 	offset := b.random.IntN(len(open))
 	best := math.Inf(1)
 	var chosen *candidate
--- a/internal/coordination/balance/pick_cost_test.go
+++ b/internal/coordination/balance/pick_cost_test.go
@@ -25,7 +25,7 @@
 }
 
 // choose admits, places and ends one request.
-func choose(board *balance.Board, all []registry.Instance, w balance.Wish, at time.Time) {
+func choose(board *balance.Balancer, all []registry.Instance, w balance.Wish, at time.Time) {
 	board.Admit(all, w, at)
 	in, _ := board.Pick(all, w, at)
 	board.Begin(in, at)
--- a/internal/coordination/balance/room.go
+++ b/internal/coordination/balance/room.go
@@ -47,7 +47,7 @@
 func (w Wish) unseen() time.Duration { return onTheWay + w.interval() }
 
 // Sent notes the memory that a request takes that goes to an engine.
-func (b *Board) Sent(to registry.Incarnation, w Wish, now time.Time) {
+func (b *Balancer) Sent(to registry.Incarnation, w Wish, now time.Time) {
 	l := b.load(to)
 	l.sent = append(l.sentSince(now, w.unseen()), sent{at: now, tokens: w.Tokens})
 }
@@ -65,7 +65,7 @@
 func (w Wish) Long() bool { return w.Memory > 0 && w.Tokens*longShare >= w.Memory }
 
 // Free returns how many tokens of an engine's memory are free, as far as it is known.
-func (b *Board) Free(of registry.Incarnation, w Wish, now time.Time) (tokens int, known bool) {
+func (b *Balancer) Free(of registry.Incarnation, w Wish, now time.Time) (tokens int, known bool) {
 	told, known := w.Loads[of]
 	if !known || w.Memory == 0 {
 		return 0, false
@@ -102,7 +102,7 @@
 
 // withRoom keeps the engines that have room. Where none is known to have any, a long prompt
 // passes over those with the longest queues, and a short one goes by its key alone.
-func (b *Board) withRoom(open []*candidate, w Wish, now time.Time) []*candidate {
+func (b *Balancer) withRoom(open []*candidate, w Wish, now time.Time) []*candidate {
 	out := b.scratch.roomy[:0]
 	for _, c := range open {
 		if _, _, has := c.room(w, now); has {
@@ -121,7 +121,7 @@
 
 // notCrowded leaves out the engines at which more waits than the bound allows, of which an
 // entry sees little by itself. Those of which nothing is known stay.
-func (b *Board) notCrowded(open []*candidate, loads map[registry.Incarnation]EngineLoad) []*candidate {
+func (b *Balancer) notCrowded(open []*candidate, loads map[registry.Incarnation]EngineLoad) []*candidate {
 	total, known := 0, 0
 	for _, c := range open {
 		if l, ok := loads[c.in.Incarnation()]; ok {
--- a/internal/coordination/suspects/replay_test.go
+++ b/internal/coordination/suspects/replay_test.go
@@ -70,7 +70,7 @@
 	for n := range w.instances {
 		all = append(all, registry.Instance{ID: fmt.Sprint("i", n), Service: "s", FailureDomain: fmt.Sprint("d", n%4), Slots: 8})
 	}
-	var boards []*balance.Board
+	var boards []*balance.Balancer
 	var collectors []*suspects.Collector
 	for n := range uint64(w.entries) {
 		boards = append(boards, balance.New(seed*1000+n))
--- a/internal/transport/serving/serving.go
+++ b/internal/transport/serving/serving.go
@@ -105,7 +105,7 @@
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
-	board   *balance.Board
+	board   *balance.Balancer
 	windows map[string]*retry.Window
 	sends   sends
 	// required holds the version of each model that was last told to be required.
