--- a/internal/coordination/balance/admit.go
+++ b/internal/coordination/balance/admit.go
@@ -24,7 +24,7 @@
 // would come late. Of long prompts in a burst of 16 s at 9 engines a quarter was in time, and
 // three fifths of them with this; without the part for the other entries, 79 of them at 60
 // engines still sent to each engine with room at once (0.47 in time, with it 0.58).
-func (b *Balancer) Admit(instances []registry.Instance, w Wish, now time.Time) (room int, ok bool) {
+func (b *Balancer) Admit(instances []registry.Instance, w PickInfo, now time.Time) (room int, ok bool) {
 	if !w.Long() {
 		return 0, true
 	}
@@ -39,7 +39,7 @@
 
 // roomFor returns how many tokens are free for a request in all engines that have room for it,
 // and of how many engines anything is known.
-func roomFor(open []*candidate, w Wish, now time.Time) (room, known int) {
+func roomFor(open []*candidate, w PickInfo, now time.Time) (room, known int) {
 	for _, c := range open {
 		free, ok, has := c.room(w, now)
 		if ok {
@@ -60,10 +60,10 @@
 }
 
 // untold is how old an engine's load is in the mean when an entry goes by it.
-func (w Wish) untold() time.Duration { return arrival + w.interval()/2 }
+func (w PickInfo) untold() time.Duration { return arrival + w.interval()/2 }
 
 // othersDemand estimates how many tokens of long prompts the other entries have sent since
 // engines told their load, as many each as this one.
-func (b *Balancer) othersDemand(w Wish) float64 {
+func (b *Balancer) othersDemand(w PickInfo) float64 {
 	return b.demand / demandOver.Seconds() * w.untold().Seconds() * float64(max(w.Entries, 1)-1)
 }
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -24,7 +24,7 @@
 // life is the incarnation of an instance that never started again.
 func life(id string) registry.Incarnation { return registry.Incarnation{ID: id} }
 
-func pick(t *testing.T, b *balance.Balancer, in []registry.Instance, w balance.Wish) string {
+func pick(t *testing.T, b *balance.Balancer, in []registry.Instance, w balance.PickInfo) string {
 	t.Helper()
 	got, ok := b.Pick(in, w, now)
 	if !ok {
@@ -39,12 +39,12 @@
 	all := instances(10)
 	moved := 0
 	for key := uint64(1); key <= 1000; key++ {
-		a := pick(t, balance.New(1), all, balance.Wish{Key: key})
-		b := pick(t, balance.New(2), all, balance.Wish{Key: key})
+		a := pick(t, balance.New(1), all, balance.PickInfo{Key: key})
+		b := pick(t, balance.New(2), all, balance.PickInfo{Key: key})
 		if a != b {
 			t.Fatalf("key %d: %s and %s", key, a, b)
 		}
-		without := pick(t, balance.New(1), all[1:], balance.Wish{Key: key})
+		without := pick(t, balance.New(1), all[1:], balance.PickInfo{Key: key})
 		if a != "i0" && without != a {
 			moved++
 		}
@@ -58,7 +58,7 @@
 	b := balance.New(1)
 	used := map[string]int{}
 	for range 40 {
-		id := pick(t, b, instances(10), balance.Wish{Key: 7})
+		id := pick(t, b, instances(10), balance.PickInfo{Key: 7})
 		b.Begin(registry.Instance{ID: id}, now)
 		used[id]++
 	}
@@ -75,14 +75,14 @@
 	b.Begin(registry.Instance{ID: "i0"}, now)
 	b.End(life("i0"), balance.Result{Failed: true, Unreached: true}, now)
 	for range 20 {
-		if id := pick(t, b, two, balance.Wish{}); id != "i1" {
+		if id := pick(t, b, two, balance.PickInfo{}); id != "i1" {
 			t.Fatalf("%s was chosen", id)
 		}
 	}
-	if id := pick(t, b, two, balance.Wish{Tried: []registry.Incarnation{life("i1")}}); id != "i0" {
+	if id := pick(t, b, two, balance.PickInfo{Tried: []registry.Incarnation{life("i1")}}); id != "i0" {
 		t.Error("the only one left was not chosen")
 	}
-	if _, ok := b.Pick(two, balance.Wish{Tried: []registry.Incarnation{life("i0"), life("i1")}}, now); ok {
+	if _, ok := b.Pick(two, balance.PickInfo{Tried: []registry.Incarnation{life("i0"), life("i1")}}, now); ok {
 		t.Error("one that was tried was chosen again")
 	}
 }
@@ -97,7 +97,7 @@
 			b := balance.New(1)
 			got := map[string]int{}
 			for range 600 {
-				id := pick(t, b, instances(3), balance.Wish{})
+				id := pick(t, b, instances(3), balance.PickInfo{})
 				got[id]++
 				b.Begin(registry.Instance{ID: id}, now)
 				result := balance.Result{Latency: 20 * time.Millisecond}
@@ -118,21 +118,21 @@
 	b := balance.New(1)
 	two := instances(2)
 	key := uint64(1)
-	first := pick(t, b, two, balance.Wish{Key: key})
+	first := pick(t, b, two, balance.PickInfo{Key: key})
 	b.Begin(registry.Instance{ID: first}, now)
 	later := now.Add(2 * time.Second)
-	got, _ := b.Pick(two, balance.Wish{Key: key}, later)
+	got, _ := b.Pick(two, balance.PickInfo{Key: key}, later)
 	if got.ID == first {
 		t.Error("a silent instance was chosen")
 	}
 	b.Heard(life(first), later)
-	got, _ = b.Pick(two, balance.Wish{Key: key}, later)
+	got, _ = b.Pick(two, balance.PickInfo{Key: key}, later)
 	if diff := cmp.Diff(first, got.ID); diff != "" {
 		t.Error(diff)
 	}
 	// One without requests has no reason to speak.
 	b.End(life(first), balance.Result{Latency: time.Millisecond}, later)
-	got, _ = b.Pick(two, balance.Wish{Key: key}, later.Add(time.Hour))
+	got, _ = b.Pick(two, balance.PickInfo{Key: key}, later.Add(time.Hour))
 	if diff := cmp.Diff(first, got.ID); diff != "" {
 		t.Error(diff)
 	}
@@ -153,7 +153,7 @@
 		b.End(life("i0"), balance.Result{Withdrawn: true}, now)
 	}
 	for range 10 {
-		if id := pick(t, b, two, balance.Wish{}); id != "i1" {
+		if id := pick(t, b, two, balance.PickInfo{}); id != "i1" {
 			t.Fatalf("%s was chosen", id)
 		}
 	}
@@ -162,7 +162,7 @@
 func TestBusyOnlyWhenNothingElseIsLeft(t *testing.T) {
 	b := balance.New(1)
 	two := instances(2)
-	w := balance.Wish{Busy: map[registry.Incarnation]bool{life("i0"): true}}
+	w := balance.PickInfo{Busy: map[registry.Incarnation]bool{life("i0"): true}}
 	if id := pick(t, b, two, w); id != "i1" {
 		t.Error("a busy one was chosen")
 	}
@@ -177,7 +177,7 @@
 	ten[3].Weights = map[string]uint64{"m": 2}
 	got := 0
 	for key := uint64(1); key <= 1000; key++ {
-		if pick(t, b, ten, balance.Wish{Key: key, Model: "m", Weights: 2}) == "i3" {
+		if pick(t, b, ten, balance.PickInfo{Key: key, Model: "m", Weights: 2}) == "i3" {
 			got++
 		}
 	}
@@ -188,7 +188,7 @@
 		ten[i].Weights = map[string]uint64{"m": 2}
 	}
 	for key := uint64(1); key <= 1000; key++ {
-		id := pick(t, b, ten, balance.Wish{Key: key, Model: "m", Weights: 2})
+		id := pick(t, b, ten, balance.PickInfo{Key: key, Model: "m", Weights: 2})
 		if id == "i7" || id == "i8" || id == "i9" {
 			t.Fatalf("%s has old weights, and most have new ones", id)
 		}
--- a/internal/coordination/balance/burst_test.go
+++ b/internal/coordination/balance/burst_test.go
@@ -170,7 +170,7 @@
 
 func (f *fleetReplay) send(r *promptRun, clock time.Time) {
 	b := f.boards[f.random.IntN(len(f.boards))]
-	w := balance.Wish{Key: r.key, Tokens: promptTokens, Memory: engineMemory, Entries: 1}
+	w := balance.PickInfo{Key: r.key, Tokens: promptTokens, Memory: engineMemory, Entries: 1}
 	if f.policy.told {
 		w.Loads = f.known(clock)
 		w.LoadsInterval = f.pause
--- a/internal/coordination/balance/cold.go
+++ b/internal/coordination/balance/cold.go
@@ -39,7 +39,7 @@
 // another one at each instance, so that exactly the number is given out. The more entries there are,
 // the fewer of them get any: an entry that waits for its turn, and has nothing to send just then,
 // would leave it unused.
-func (w Wish) turn(number int, hash uint64) int {
+func (w PickInfo) turn(number int, hash uint64) int {
 	entries := max(w.Entries, 1)
 	rank := min(max(w.Rank, 0), entries-1)
 	first := int(float64(hash>>11) / (1 << 53) * float64(entries))
@@ -64,14 +64,14 @@
 }
 
 // isCold reports whether an instance is cold and has a bound.
-func (c *candidate) isCold(w Wish, now time.Time) bool {
+func (c *candidate) isCold(w PickInfo, now time.Time) bool {
 	return w.Cold.Rate > 0 && now.Before(c.coldUntil())
 }
 
 // coldPause is how much time lies between two requests of one entry to a cold instance; ok is false
 // when the entry sends it none. One that comes back looks idle beside the others, and all entries
 // would send to it at once.
-func (c *candidate) coldPause(w Wish) (pause time.Duration, ok bool) {
+func (c *candidate) coldPause(w PickInfo) (pause time.Duration, ok bool) {
 	n := w.turn(w.Cold.part(), c.hash)
 	if n <= 0 {
 		return 0, false
@@ -80,7 +80,7 @@
 }
 
 // bears reports whether an instance that may be cold bears one more request from this entry.
-func (c *candidate) bears(w Wish, now time.Time) bool {
+func (c *candidate) bears(w PickInfo, now time.Time) bool {
 	if !c.isCold(w, now) {
 		return true
 	}
@@ -89,7 +89,7 @@
 }
 
 // noteCold notes that a request goes to an instance that may be cold.
-func (c *candidate) noteCold(w Wish, now time.Time) {
+func (c *candidate) noteCold(w PickInfo, now time.Time) {
 	if !c.isCold(w, now) {
 		return
 	}
--- a/internal/coordination/balance/cold_test.go
+++ b/internal/coordination/balance/cold_test.go
@@ -29,7 +29,7 @@
 			for n := range 8 * rate {
 				at := now.Add(time.Duration(n) * time.Second / rate)
 				b := boards[n%entries]
-				w := balance.Wish{Entries: entries, Rank: n % entries, Cold: balance.Bound{Rate: bears, Most: most}}
+				w := balance.PickInfo{Entries: entries, Rank: n % entries, Cold: balance.Bound{Rate: bears, Most: most}}
 				if keyed {
 					w.Key = uint64(n)*0x9e3779b97f4a7c15 | 1
 				}
@@ -73,7 +73,7 @@
 	cold := registry.Instance{ID: "cold", Slots: 8, ColdUntil: now.Add(time.Hour)}
 	b := balance.New(1)
 	for range 20 {
-		in, ok := b.Pick([]registry.Instance{cold}, balance.Wish{Entries: 5}, now)
+		in, ok := b.Pick([]registry.Instance{cold}, balance.PickInfo{Entries: 5}, now)
 		if !ok || in.ID != "cold" {
 			t.Fatal("it got none")
 		}
--- a/internal/coordination/balance/condition.go
+++ b/internal/coordination/balance/condition.go
@@ -68,7 +68,7 @@
 
 // HeldBack returns what holds a request back for which Pick finds none of some instances, or nil when
 // that is nothing that they said of themselves.
-func (b *Balancer) HeldBack(instances []registry.Instance, w Wish, now time.Time) HeldBack {
+func (b *Balancer) HeldBack(instances []registry.Instance, w PickInfo, now time.Time) HeldBack {
 	var first HeldBack
 	var least time.Duration
 	r := b.roster(instances, now)
@@ -86,7 +86,7 @@
 }
 
 // heldBack returns what an instance said that keeps a request from it, and for how long.
-func (c *candidate) heldBack(w Wish, now time.Time) (held HeldBack, left time.Duration) {
+func (c *candidate) heldBack(w PickInfo, now time.Time) (held HeldBack, left time.Duration) {
 	switch {
 	case c.load.rests(now):
 		left = c.load.restUntil.Sub(now)
--- a/internal/coordination/balance/condition_test.go
+++ b/internal/coordination/balance/condition_test.go
@@ -20,30 +20,30 @@
 		name  string
 		say   func(b *balance.Balancer)
 		among []registry.Instance
-		wish  balance.Wish
+		wish  balance.PickInfo
 		want  balance.HeldBack
 	}{
 		{"a limit", func(b *balance.Balancer) {
 			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
-			b.Pick(both[:1], balance.Wish{}, at(0))
-		}, both[:1], balance.Wish{}, balance.Limited{Left: 7 * time.Second}},
+			b.Pick(both[:1], balance.PickInfo{}, at(0))
+		}, both[:1], balance.PickInfo{}, balance.Limited{Left: 7 * time.Second}},
 		{"a limit that was taken back", func(b *balance.Balancer) {
 			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
 			b.NoteNoLimit(limited.Incarnation(), at(1))
-		}, both[:1], balance.Wish{}, nil},
-		{"another entry's turn", func(b *balance.Balancer) { b.NoteLimit(limited.Incarnation(), 0.5, at(0)) }, both[:1], balance.Wish{Entries: 300, Rank: 17}, balance.Limited{Left: 2 * time.Second}},
-		{"rest", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.Wish{}, balance.Resting{Left: 2 * time.Second}},
+		}, both[:1], balance.PickInfo{}, nil},
+		{"another entry's turn", func(b *balance.Balancer) { b.NoteLimit(limited.Incarnation(), 0.5, at(0)) }, both[:1], balance.PickInfo{Entries: 300, Rank: 17}, balance.Limited{Left: 2 * time.Second}},
+		{"rest", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.PickInfo{}, balance.Resting{Left: 2 * time.Second}},
 		{"a shorter rest later", func(b *balance.Balancer) {
 			b.NoteRest(tired.Incarnation(), at(5), at(0))
 			b.NoteRest(tired.Incarnation(), at(4), at(1))
-		}, both[1:], balance.Wish{}, balance.Resting{Left: 2 * time.Second}},
+		}, both[1:], balance.PickInfo{}, balance.Resting{Left: 2 * time.Second}},
 		{"the first of both", func(b *balance.Balancer) {
 			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
-			b.Pick(both[:1], balance.Wish{}, at(0))
+			b.Pick(both[:1], balance.PickInfo{}, at(0))
 			b.NoteRest(tired.Incarnation(), at(5), at(0))
-		}, both, balance.Wish{}, balance.Resting{Left: 2 * time.Second}},
-		{"one that was tried", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.Wish{Tried: []registry.Incarnation{tired.Incarnation()}}, nil},
-		{"rest that is over", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(3), at(0)) }, both[1:], balance.Wish{}, nil},
+		}, both, balance.PickInfo{}, balance.Resting{Left: 2 * time.Second}},
+		{"one that was tried", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.PickInfo{Tried: []registry.Incarnation{tired.Incarnation()}}, nil},
+		{"rest that is over", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(3), at(0)) }, both[1:], balance.PickInfo{}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := balance.New(1)
@@ -67,7 +67,7 @@
 	those := func(in registry.Instance) map[registry.Incarnation]bool {
 		return map[registry.Incarnation]bool{in.Incarnation(): true}
 	}
-	for name, w := range map[string]balance.Wish{
+	for name, w := range map[string]balance.PickInfo{
 		"by wait": {}, "by key": {Key: 1}, "others busy": {Busy: those(other)}, "others failing": {Failing: those(other)},
 		"itself failing, and to be tried": {Failing: those(tired), Repeats: true}, "others tried": {Tried: []registry.Incarnation{other.Incarnation()}},
 	} {
@@ -89,13 +89,13 @@
 	b.NoteRest(tired.Incarnation(), now.Add(time.Hour), now)
 	for s := range 200 {
 		at := now.Add(time.Duration(s) * time.Second)
-		if _, ok := b.Pick([]registry.Instance{tired}, balance.Wish{}, at); ok {
+		if _, ok := b.Pick([]registry.Instance{tired}, balance.PickInfo{}, at); ok {
 			t.Fatalf("chosen after %d s", s)
 		}
 		b.Forget(at.Add(-time.Minute))
 	}
 	tired.Start = 1
-	if _, ok := b.Pick([]registry.Instance{tired}, balance.Wish{}, now); !ok {
+	if _, ok := b.Pick([]registry.Instance{tired}, balance.PickInfo{}, now); !ok {
 		t.Error("the next incarnation was not chosen")
 	}
 }
@@ -108,16 +108,16 @@
 	got := []bool{b.NoteLeaving(leaves.Incarnation()), b.NoteLeaving(leaves.Incarnation())}
 	for s := range 200 {
 		at := now.Add(time.Duration(s) * time.Second)
-		if _, ok := b.Pick([]registry.Instance{leaves}, balance.Wish{}, at); ok {
+		if _, ok := b.Pick([]registry.Instance{leaves}, balance.PickInfo{}, at); ok {
 			t.Fatalf("chosen after %d s", s)
 		}
 		b.Forget(at.Add(-time.Minute))
 	}
-	if held := b.HeldBack([]registry.Instance{leaves}, balance.Wish{}, now); held != nil {
+	if held := b.HeldBack([]registry.Instance{leaves}, balance.PickInfo{}, now); held != nil {
 		t.Errorf("a request is to wait for one that will end: %+v", held)
 	}
 	leaves.Start = 1
-	_, ok := b.Pick([]registry.Instance{leaves}, balance.Wish{}, now)
+	_, ok := b.Pick([]registry.Instance{leaves}, balance.PickInfo{}, now)
 	if diff := cmp.Diff([]bool{true, false, true}, append(got, ok)); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/coordination/balance/domains.go
+++ b/internal/coordination/balance/domains.go
@@ -59,7 +59,7 @@
 
 // markEvacuated notes which failure domains are evacuated, and which ones return: their instances may
 // have turned cold lately, and look idle beside all others.
-func (r *roster) markEvacuated(w Wish) {
+func (r *roster) markEvacuated(w PickInfo) {
 	for _, d := range r.domains {
 		_, d.evacuated = w.Evacuated[d.name]
 		d.coldUntil = time.Time{}
@@ -71,7 +71,7 @@
 
 // markDark notes which failure domains count as cut off, without those to which the request may be
 // let through. All of a deployment never does.
-func (r *roster) markDark(w Wish, now time.Time) {
+func (r *roster) markDark(w PickInfo, now time.Time) {
 	quiet := false
 	for _, d := range r.domains {
 		d.witnesses, d.dark = 0, false
@@ -109,7 +109,7 @@
 func (d *domain) quiet(now time.Time) bool { return now.Sub(d.heard) >= darkAfter }
 
 // probes is how long after the last probe a request is let through.
-func (w Wish) probes() time.Duration {
+func (w PickInfo) probes() time.Duration {
 	if w.Repeats {
 		return probeEvery
 	}
--- a/internal/coordination/balance/domains_test.go
+++ b/internal/coordination/balance/domains_test.go
@@ -22,7 +22,7 @@
 
 // cutOff sends requests with differing keys, of which those to one failure domain get no
 // answer; it returns how many went to each, and what ends those that wait.
-func cutOff(b *balance.Balancer, w balance.Wish, requests int, cut string, at time.Time) (got map[string]int, giveUp func(time.Time)) {
+func cutOff(b *balance.Balancer, w balance.PickInfo, requests int, cut string, at time.Time) (got map[string]int, giveUp func(time.Time)) {
 	got = map[string]int{}
 	var waiting []registry.Incarnation
 	for n := range requests {
@@ -48,7 +48,7 @@
 // there get nothing more either, but for a probe now and then; one word ends it.
 func TestCutDomainIsAvoided(t *testing.T) {
 	b := balance.New(1)
-	repeats := balance.Wish{Repeats: true}
+	repeats := balance.PickInfo{Repeats: true}
 	at := now.Add(time.Hour)
 	cutOff(b, repeats, 30, "", at)
 	got, giveUp := cutOff(b, repeats, 6, "d1", at)
@@ -61,7 +61,7 @@
 		t.Errorf("%d of 100 went into the cut", got["d1"])
 	}
 	at = at.Add(1100 * time.Millisecond)
-	got, _ = cutOff(b, balance.Wish{}, 100, "d1", at)
+	got, _ = cutOff(b, balance.PickInfo{}, 100, "d1", at)
 	if got["d1"] != 0 {
 		t.Errorf("%d probes by requests that run once", got["d1"])
 	}
@@ -84,7 +84,7 @@
 	at := now.Add(time.Hour)
 	lost := 0
 	for range 200 {
-		in, _ := b.Pick(spread(), balance.Wish{Repeats: true}, at)
+		in, _ := b.Pick(spread(), balance.PickInfo{Repeats: true}, at)
 		b.Begin(in, at)
 		if in.FailureDomain == "d0" {
 			b.Heard(in.Incarnation(), at)
@@ -114,7 +114,7 @@
 		}
 	}
 	at = at.Add(3 * time.Second)
-	got, _ := cutOff(b, balance.Wish{}, 100, "", at)
+	got, _ := cutOff(b, balance.PickInfo{}, 100, "", at)
 	if diff := cmp.Diff(true, got["d1"] > 10); diff != "" {
 		t.Error(got, diff)
 	}
@@ -127,7 +127,7 @@
 	for _, in := range spread() {
 		b.Begin(in, at)
 	}
-	_, ok := b.Pick(spread(), balance.Wish{}, at.Add(time.Minute))
+	_, ok := b.Pick(spread(), balance.PickInfo{}, at.Add(time.Minute))
 	if diff := cmp.Diff(true, ok); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/coordination/balance/evacuation_test.go
+++ b/internal/coordination/balance/evacuation_test.go
@@ -16,7 +16,7 @@
 func TestEvacuatedDomainGetsNothing(t *testing.T) {
 	evacuated := map[string]time.Time{"d1": now}
 	tried := []registry.Incarnation{life("i0"), life("i3")}
-	for name, w := range map[string]balance.Wish{
+	for name, w := range map[string]balance.PickInfo{
 		"by wait":       {},
 		"by key":        {Key: 1},
 		"again":         {Repeats: true, Tried: tried},
@@ -40,7 +40,7 @@
 			}
 		})
 	}
-	w := balance.Wish{Evacuated: map[string]time.Time{"d0": now, "d1": now, "d2": now}}
+	w := balance.PickInfo{Evacuated: map[string]time.Time{"d0": now, "d1": now, "d2": now}}
 	if in, ok := balance.New(1).Pick(spread(), w, now); ok {
 		t.Errorf("with all domains evacuated %s is chosen", in.ID)
 	}
@@ -58,7 +58,7 @@
 	got := map[string][]time.Time{}
 	for n := range 8 * rate {
 		at := now.Add(time.Duration(n) * time.Second / rate)
-		w := balance.Wish{
+		w := balance.PickInfo{
 			Entries: entries, Rank: n % entries, Cold: balance.Bound{Rate: coldRate, Most: coldMost}, ColdFor: cold,
 			Returned: map[string]time.Time{"d1": now},
 		}
@@ -78,7 +78,7 @@
 func TestAnswerTellsOfCold(t *testing.T) {
 	b := balance.New(1)
 	two := instances(2)
-	w := balance.Wish{Key: keyOf(two, "i0"), Entries: 1, Cold: balance.Bound{Rate: 2, Most: 4}}
+	w := balance.PickInfo{Key: keyOf(two, "i0"), Entries: 1, Cold: balance.Bound{Rate: 2, Most: 4}}
 	b.NoteCold(life("i0"), now.Add(time.Minute))
 	got := map[string]int{}
 	for n := range 100 {
--- a/internal/coordination/balance/failing.go
+++ b/internal/coordination/balance/failing.go
@@ -7,6 +7,6 @@
 
 // mayProbe reports whether this request is to try a failing instance: one that may run again
 // elsewhere, of the entry whose turn it is.
-func (c *candidate) mayProbe(w Wish, now time.Time) bool {
+func (c *candidate) mayProbe(w PickInfo, now time.Time) bool {
 	return w.Repeats && w.turn(1, c.hash) > 0 && !now.Before(c.load.probeNext)
 }
--- a/internal/coordination/balance/limit.go
+++ b/internal/coordination/balance/limit.go
@@ -94,7 +94,7 @@
 func (l Limit) interval() time.Duration { return time.Duration(float64(time.Second) / l.rate()) }
 
 // turns is how many requests this entry may send in limitSpan.
-func (l Limit) turns(w Wish, hash uint64, now time.Time) int {
+func (l Limit) turns(w PickInfo, hash uint64, now time.Time) int {
 	number := l.bound().part()
 	entries := max(w.Entries, 1)
 	rotations := int(now.Sub(l.since) / limitRotation)
@@ -104,7 +104,7 @@
 
 // pause is how much time lies between two requests of one entry to an instance with a limit; ok is false
 // when the entry sends it none.
-func (l Limit) pause(w Wish, hash uint64, now time.Time) (pause time.Duration, ok bool) {
+func (l Limit) pause(w PickInfo, hash uint64, now time.Time) (pause time.Duration, ok bool) {
 	n := l.turns(w, hash, now)
 	if n <= 0 {
 		return 0, false
@@ -115,7 +115,7 @@
 // withinLimit reports whether an instance that may have a limit takes one more request from this entry.
 // An entry that gets a turn waits for as long as it is from one of its requests to the next: whoever had
 // the turn before it, or sent freely until the limit was known, may have sent just now.
-func (c *candidate) withinLimit(w Wish, now time.Time) bool {
+func (c *candidate) withinLimit(w PickInfo, now time.Time) bool {
 	l := c.load
 	if !l.limit.Named {
 		return true
@@ -132,7 +132,7 @@
 }
 
 // noteSent notes that a request goes to an instance that may have a limit.
-func (c *candidate) noteSent(w Wish, now time.Time) {
+func (c *candidate) noteSent(w PickInfo, now time.Time) {
 	if !c.load.limit.Named {
 		return
 	}
--- a/internal/coordination/balance/limit_replay_test.go
+++ b/internal/coordination/balance/limit_replay_test.go
@@ -156,7 +156,7 @@
 
 // pick chooses an instance for a request of one of so many entries.
 func (e *limitEntry) pick(all []registry.Instance, r limitReplay, rank, entries int, at time.Time) (registry.Instance, bool) {
-	w := balance.Wish{Entries: entries, Rank: rank}
+	w := balance.PickInfo{Entries: entries, Rank: rank}
 	if side := int(float64(entries) * r.apart); rank >= entries-side {
 		w.Entries, w.Rank = side, rank-(entries-side)
 	} else {
--- a/internal/coordination/balance/limit_test.go
+++ b/internal/coordination/balance/limit_test.go
@@ -15,11 +15,11 @@
 type limitedBoard struct {
 	*balance.Balancer
 	in   registry.Instance
-	wish balance.Wish
+	wish balance.PickInfo
 }
 
 func newLimitedBoard(entries int) *limitedBoard {
-	return &limitedBoard{Balancer: balance.New(1), in: registry.Instance{ID: "few", Slots: 4}, wish: balance.Wish{Entries: entries}}
+	return &limitedBoard{Balancer: balance.New(1), in: registry.Instance{ID: "few", Slots: 4}, wish: balance.PickInfo{Entries: entries}}
 }
 
 // sendFor asks for an instance each 10 ms for some time, and returns how often there was one.
@@ -132,7 +132,7 @@
 	for rank := range entries {
 		b := balance.New(uint64(rank))
 		b.NoteLimit(in.Incarnation(), 4.5, now)
-		w := balance.Wish{Entries: entries, Rank: rank}
+		w := balance.PickInfo{Entries: entries, Rank: rank}
 		asked := false
 		for at := time.Duration(0); at <= rotation*rotations && !asked; at += 100 * time.Millisecond {
 			_, asked = b.Pick(all, w, now.Add(at))
--- a/internal/coordination/balance/pick.go
+++ b/internal/coordination/balance/pick.go
@@ -23,8 +23,8 @@
 	newerShare = 1.5
 )
 
-// Wish is what a request asks for.
-type Wish struct {
+// PickInfo is what a request asks for.
+type PickInfo struct {
 	// Key is 0 for requests that may run anywhere as well.
 	Key uint64
 	// Repeats says that the request may run once more elsewhere, if nothing is heard of it.
@@ -58,13 +58,13 @@
 }
 
 // tried reports whether an instance had the request already.
-func (w Wish) tried(in *registry.Instance) bool {
+func (w PickInfo) tried(in *registry.Instance) bool {
 	return len(w.Tried) > 0 && slices.Contains(w.Tried, in.Incarnation())
 }
 
 // Pick chooses an instance; ok is false when there is none that was not tried. The list must not
 // be written to later.
-func (b *Balancer) Pick(instances []registry.Instance, w Wish, now time.Time) (chosen registry.Instance, ok bool) {
+func (b *Balancer) Pick(instances []registry.Instance, w PickInfo, now time.Time) (chosen registry.Instance, ok bool) {
 	open := b.open(b.roster(instances, now), w, now)
 	if c := b.scratch.probe; c != nil {
 		c.load.probeNext = now.Add(probeFailing)
@@ -89,7 +89,7 @@
 // open leaves out what was tried, what is evacuated, what leaves or asked for rest and what takes no
 // more, and also what is busy, silent, cut off or failed lately unless nothing else is left. The list
 // holds until the next choice.
-func (b *Balancer) open(r *roster, w Wish, now time.Time) []*candidate {
+func (b *Balancer) open(r *roster, w PickInfo, now time.Time) []*candidate {
 	sound, rest := b.scratch.sound[:0], b.scratch.rest[:0]
 	b.scratch.probe = nil
 	r.markEvacuated(w)
@@ -119,7 +119,7 @@
 }
 
 // preferNewer keeps the instances with the wanted weights for most requests.
-func (b *Balancer) preferNewer(open []*candidate, w Wish) []*candidate {
+func (b *Balancer) preferNewer(open []*candidate, w PickInfo) []*candidate {
 	if w.Weights == 0 {
 		return open
 	}
--- a/internal/coordination/balance/pick_cost_test.go
+++ b/internal/coordination/balance/pick_cost_test.go
@@ -25,7 +25,7 @@
 }
 
 // choose admits, places and ends one request.
-func choose(board *balance.Balancer, all []registry.Instance, w balance.Wish, at time.Time) {
+func choose(board *balance.Balancer, all []registry.Instance, w balance.PickInfo, at time.Time) {
 	board.Admit(all, w, at)
 	in, _ := board.Pick(all, w, at)
 	board.Begin(in, at)
@@ -35,8 +35,8 @@
 }
 
 // wishOf is the n-th prompt of some tokens.
-func wishOf(n, tokens int, loads map[registry.Incarnation]balance.EngineLoad) balance.Wish {
-	return balance.Wish{
+func wishOf(n, tokens int, loads map[registry.Incarnation]balance.EngineLoad) balance.PickInfo {
+	return balance.PickInfo{
 		Key: uint64(n)*0x9e3779b97f4a7c15 | 1, Model: "m", Weights: 1, Tokens: tokens, Memory: 87_000, Loads: loads, Entries: 90, Cold: balance.Bound{Rate: 14, Most: 26},
 	}
 }
--- a/internal/coordination/balance/room.go
+++ b/internal/coordination/balance/room.go
@@ -41,13 +41,13 @@
 }
 
 // interval is how often engines are asked.
-func (w Wish) interval() time.Duration { return cmp.Or(w.LoadsInterval, usualInterval) }
+func (w PickInfo) interval() time.Duration { return cmp.Or(w.LoadsInterval, usualInterval) }
 
 // unseen is for how long an engine's own word may lack what was sent there.
-func (w Wish) unseen() time.Duration { return onTheWay + w.interval() }
+func (w PickInfo) unseen() time.Duration { return onTheWay + w.interval() }
 
 // Sent notes the memory that a request takes that goes to an engine.
-func (b *Balancer) Sent(to registry.Incarnation, w Wish, now time.Time) {
+func (b *Balancer) Sent(to registry.Incarnation, w PickInfo, now time.Time) {
 	l := b.load(to)
 	l.sent = append(l.sentSince(now, w.unseen()), sent{at: now, tokens: w.Tokens})
 }
@@ -62,10 +62,10 @@
 }
 
 // Long reports whether a few requests like this one fill an engine.
-func (w Wish) Long() bool { return w.Memory > 0 && w.Tokens*longShare >= w.Memory }
+func (w PickInfo) Long() bool { return w.Memory > 0 && w.Tokens*longShare >= w.Memory }
 
 // Free returns how many tokens of an engine's memory are free, as far as it is known.
-func (b *Balancer) Free(of registry.Incarnation, w Wish, now time.Time) (tokens int, known bool) {
+func (b *Balancer) Free(of registry.Incarnation, w PickInfo, now time.Time) (tokens int, known bool) {
 	told, known := w.Loads[of]
 	if !known || w.Memory == 0 {
 		return 0, false
@@ -74,7 +74,7 @@
 }
 
 // free returns how many tokens are free by what an engine told and what was sent there since.
-func (l *load) free(told EngineLoad, w Wish, now time.Time) int {
+func (l *load) free(told EngineLoad, w PickInfo, now time.Time) int {
 	free := w.Memory - told.Used
 	for _, s := range l.sentSince(now, w.unseen()) {
 		free -= s.tokens
@@ -85,7 +85,7 @@
 // room returns how many tokens of an engine's memory are free, as far as it is known, and whether
 // that is room for a request. A long one goes only where nothing waits; a short one overtakes what
 // waits.
-func (c *candidate) room(w Wish, now time.Time) (free int, known, has bool) {
+func (c *candidate) room(w PickInfo, now time.Time) (free int, known, has bool) {
 	if w.Memory == 0 {
 		return 0, false, false
 	}
@@ -102,7 +102,7 @@
 
 // withRoom keeps the engines that have room. Where none is known to have any, a long prompt
 // passes over those with the longest queues, and a short one goes by its key alone.
-func (b *Balancer) withRoom(open []*candidate, w Wish, now time.Time) []*candidate {
+func (b *Balancer) withRoom(open []*candidate, w PickInfo, now time.Time) []*candidate {
 	out := b.scratch.roomy[:0]
 	for _, c := range open {
 		if _, _, has := c.room(w, now); has {
--- a/internal/coordination/balance/room_test.go
+++ b/internal/coordination/balance/room_test.go
@@ -19,8 +19,8 @@
 )
 
 // prompt is a wish for a prompt of so many tokens.
-func prompt(tokens int, loads map[registry.Incarnation]balance.EngineLoad) balance.Wish {
-	return balance.Wish{Key: key, Tokens: tokens, Memory: memory, Loads: loads}
+func prompt(tokens int, loads map[registry.Incarnation]balance.EngineLoad) balance.PickInfo {
+	return balance.PickInfo{Key: key, Tokens: tokens, Memory: memory, Loads: loads}
 }
 
 // loadsOf gives four engines one load, and the one named another.
@@ -37,7 +37,7 @@
 // no prompt that others can take; one of which nothing is known keeps its keys.
 func TestCrowdedEngineGetsNoMore(t *testing.T) {
 	all := instances(4)
-	first := pick(t, balance.New(1), all, balance.Wish{Key: key})
+	first := pick(t, balance.New(1), all, balance.PickInfo{Key: key})
 	waiting := func(all, there int) map[registry.Incarnation]balance.EngineLoad {
 		return loadsOf(balance.EngineLoad{Waiting: all}, first, balance.EngineLoad{Waiting: there})
 	}
--- a/internal/coordination/suspects/replay_test.go
+++ b/internal/coordination/suspects/replay_test.go
@@ -106,7 +106,7 @@
 		}
 		e := random.IntN(w.entries)
 		team := fmt.Sprint("t", random.IntN(1+random.IntN(12)))
-		wish := balance.Wish{Key: random.Uint64() | 1, Failing: known, Entries: w.entries, Rank: e, Repeats: random.Float64() < repeatable}
+		wish := balance.PickInfo{Key: random.Uint64() | 1, Failing: known, Entries: w.entries, Rank: e, Repeats: random.Float64() < repeatable}
 		isHostile := random.Float64() < w.hostile
 		if isHostile {
 			wish.Key, team = 12345, "hostile"
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -107,7 +107,7 @@
 }
 
 // noInstance is the request's end when none of some instances takes it now; the server's mu must be held.
-func (j *job) noInstance(instances []registry.Instance, wish balance.Wish, now time.Time) outcome.Outcome {
+func (j *job) noInstance(instances []registry.Instance, wish balance.PickInfo, now time.Time) outcome.Outcome {
 	switch held := j.server.board.HeldBack(instances, wish, now).(type) {
 	case balance.Resting:
 		return j.tries.Reject(held.Left, outcome.ReasonResting)
@@ -127,9 +127,9 @@
 }
 
 // wish says what the next attempt asks for.
-func (j *job) wish(view *fleet.View) balance.Wish {
+func (j *job) wish(view *fleet.View) balance.PickInfo {
 	service := view.Config.Services[j.service]
-	wish := balance.Wish{
+	wish := balance.PickInfo{
 		Tried: j.tried, Busy: view.Busy, Failing: view.Failing, Repeats: j.route.Repeats(), Entries: view.Entries, Rank: view.Rank,
 		Cold: j.server.Cold.bound(service.ColdRate), ColdFor: service.ColdFor, Evacuated: view.Evacuated, Returned: view.Returned,
 	}
