--- a/internal/coordination/balance/condition_test.go
+++ b/internal/coordination/balance/condition_test.go
@@ -69,7 +69,7 @@
 	}
 	for name, w := range map[string]balance.PickInfo{
 		"by wait": {}, "by key": {Key: 1}, "others busy": {Busy: those(other)}, "others failing": {Failing: those(other)},
-		"itself failing, and to be tried": {Failing: those(tired), Repeats: true}, "others tried": {Tried: []registry.Incarnation{other.Incarnation()}},
+		"itself failing, and to be tried": {Failing: those(tired), Retryable: true}, "others tried": {Tried: []registry.Incarnation{other.Incarnation()}},
 	} {
 		b := balance.New(1)
 		b.NoteRest(tired.Incarnation(), now.Add(time.Second), now)
--- a/internal/coordination/balance/domains.go
+++ b/internal/coordination/balance/domains.go
@@ -110,7 +110,7 @@
 
 // probes is how long after the last probe a request is let through.
 func (w PickInfo) probes() time.Duration {
-	if w.Repeats {
+	if w.Retryable {
 		return probeEvery
 	}
 	return probeOnceEvery
--- a/internal/coordination/balance/domains_test.go
+++ b/internal/coordination/balance/domains_test.go
@@ -48,7 +48,7 @@
 // there get nothing more either, but for a probe now and then; one word ends it.
 func TestCutDomainIsAvoided(t *testing.T) {
 	b := balance.New(1)
-	repeats := balance.PickInfo{Repeats: true}
+	repeats := balance.PickInfo{Retryable: true}
 	at := now.Add(time.Hour)
 	cutOff(b, repeats, 30, "", at)
 	got, giveUp := cutOff(b, repeats, 6, "d1", at)
@@ -84,7 +84,7 @@
 	at := now.Add(time.Hour)
 	lost := 0
 	for range 200 {
-		in, _ := b.Pick(spread(), balance.PickInfo{Repeats: true}, at)
+		in, _ := b.Pick(spread(), balance.PickInfo{Retryable: true}, at)
 		b.Begin(in, at)
 		if in.FailureDomain == "d0" {
 			b.Heard(in.Incarnation(), at)
--- a/internal/coordination/balance/evacuation_test.go
+++ b/internal/coordination/balance/evacuation_test.go
@@ -19,7 +19,7 @@
 	for name, w := range map[string]balance.PickInfo{
 		"by wait":       {},
 		"by key":        {Key: 1},
-		"again":         {Repeats: true, Tried: tried},
+		"again":         {Retryable: true, Tried: tried},
 		"a long prompt": {Key: 1, Tokens: 10_000, Memory: 50_000},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/coordination/balance/pick.go
+++ b/internal/coordination/balance/pick.go
@@ -27,8 +27,8 @@
 type PickInfo struct {
 	// Key is 0 for requests that may run anywhere as well.
 	Key uint64
-	// Repeats says that the request may run once more elsewhere, if nothing is heard of it.
-	Repeats bool
+	// Retryable says that the request may run once more elsewhere, if nothing is heard of it.
+	Retryable bool
 	// Tried are the instances that had the request already.
 	Tried []registry.Incarnation
 	// Failing are instances that answer and fail, and get a request now and then.
--- a/internal/coordination/suspects/replay_test.go
+++ b/internal/coordination/suspects/replay_test.go
@@ -106,7 +106,7 @@
 		}
 		e := random.IntN(w.entries)
 		team := fmt.Sprint("t", random.IntN(1+random.IntN(12)))
-		wish := balance.PickInfo{Key: random.Uint64() | 1, Failing: known, Entries: w.entries, Rank: e, Repeats: random.Float64() < repeatable}
+		wish := balance.PickInfo{Key: random.Uint64() | 1, Failing: known, Entries: w.entries, Rank: e, Retryable: random.Float64() < repeatable}
 		isHostile := random.Float64() < w.hostile
 		if isHostile {
 			wish.Key, team = 12345, "hostile"
@@ -124,7 +124,7 @@
 		if failed {
 			collectors[e].RecordFailure(in, team, w.instances, clock)
 		}
-		if ill && !wish.Repeats {
+		if ill && !wish.Retryable {
 			out.lost++
 			if at > sickAfter+time.Second {
 				out.lostLate++
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -130,7 +130,7 @@
 func (j *job) wish(view *fleet.View) balance.PickInfo {
 	service := view.Config.Services[j.service]
 	wish := balance.PickInfo{
-		Tried: j.tried, Busy: view.Busy, Failing: view.Failing, Repeats: j.route.Repeats(), Entries: view.Entries, Rank: view.Rank,
+		Tried: j.tried, Busy: view.Busy, Failing: view.Failing, Retryable: j.route.Repeats(), Entries: view.Entries, Rank: view.Rank,
 		Cold: j.server.Cold.bound(service.ColdRate), ColdFor: service.ColdFor, Evacuated: view.Evacuated, Returned: view.Returned,
 	}
 	p := j.request.Prompt
