--- a/internal/coordination/balance/balance.go
+++ b/internal/coordination/balance/balance.go
@@ -108,8 +108,8 @@
 	l.seen = now
 }
 
-// Heard notes that an instance answered a request, though the answer may go on.
-func (b *Balancer) Heard(from registry.Incarnation, now time.Time) {
+// RecordResponse notes that an instance answered a request, though the answer may go on.
+func (b *Balancer) RecordResponse(from registry.Incarnation, now time.Time) {
 	l := b.load(from)
 	l.heard = now
 	b.domain(l.domain).hear(now)
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -125,7 +125,7 @@
 	if got.ID == first {
 		t.Error("a silent instance was chosen")
 	}
-	b.Heard(life(first), later)
+	b.RecordResponse(life(first), later)
 	got, _ = b.Pick(two, balance.PickInfo{Key: key}, later)
 	if diff := cmp.Diff(first, got.ID); diff != "" {
 		t.Error(diff)
--- a/internal/coordination/balance/cold_replay_test.go
+++ b/internal/coordination/balance/cold_replay_test.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		boards[e].Begin(in, clock)
-		boards[e].Heard(in.Incarnation(), clock)
+		boards[e].RecordResponse(in.Incarnation(), clock)
 		latency := 60 * time.Millisecond
 		if in.Start == 0 && r.busy {
 			latency = 200 * time.Millisecond
--- a/internal/coordination/balance/domains_test.go
+++ b/internal/coordination/balance/domains_test.go
@@ -34,7 +34,7 @@
 			waiting = append(waiting, in.Incarnation())
 			continue
 		}
-		b.Heard(in.Incarnation(), at)
+		b.RecordResponse(in.Incarnation(), at)
 		b.End(in.Incarnation(), balance.Result{Latency: 10 * time.Millisecond}, at)
 	}
 	return got, func(at time.Time) {
@@ -71,7 +71,7 @@
 	}
 	giveUp(at)
 	giveUpToo(at)
-	b.Heard(life("i1"), at)
+	b.RecordResponse(life("i1"), at)
 	got, _ = cutOff(b, repeats, 100, "", at)
 	if got["d1"] < 10 {
 		t.Errorf("%d of 100 after a word", got["d1"])
@@ -87,7 +87,7 @@
 		in, _ := b.Pick(spread(), balance.PickInfo{Retryable: true}, at)
 		b.Begin(in, at)
 		if in.FailureDomain == "d0" {
-			b.Heard(in.Incarnation(), at)
+			b.RecordResponse(in.Incarnation(), at)
 			b.End(in.Incarnation(), balance.Result{Latency: 10 * time.Millisecond}, at)
 			at = at.Add(10 * time.Millisecond)
 			continue
--- a/internal/coordination/balance/limit_replay_test.go
+++ b/internal/coordination/balance/limit_replay_test.go
@@ -127,7 +127,7 @@
 		return
 	}
 	e.board.Begin(in, clock)
-	e.board.Heard(in.Incarnation(), clock)
+	e.board.RecordResponse(in.Incarnation(), clock)
 	e.board.End(in.Incarnation(), balance.Result{Latency: 60 * time.Millisecond}, clock)
 	if in.ID == "i0" && at >= limitAfter {
 		p.arrive(e, in, at)
--- a/internal/coordination/balance/pick_cost_test.go
+++ b/internal/coordination/balance/pick_cost_test.go
@@ -30,7 +30,7 @@
 	in, _ := board.Pick(all, w, at)
 	board.Begin(in, at)
 	board.Sent(in.Incarnation(), w, at)
-	board.Heard(in.Incarnation(), at)
+	board.RecordResponse(in.Incarnation(), at)
 	board.End(in.Incarnation(), balance.Result{Latency: 50 * time.Millisecond}, at)
 }
 
--- a/internal/coordination/suspects/replay_test.go
+++ b/internal/coordination/suspects/replay_test.go
@@ -117,7 +117,7 @@
 		}
 		collectors[e].RecordRequest("s", team, clock)
 		boards[e].Begin(in, clock)
-		boards[e].Heard(in.Incarnation(), clock)
+		boards[e].RecordResponse(in.Incarnation(), clock)
 		ill := w.isSick(in.Incarnation(), at) && random.Float64() < w.sickShare
 		failed := ill || isHostile || random.Float64() < w.natural
 		boards[e].End(in.Incarnation(), balance.Result{Failed: failed, Latency: 60 * time.Millisecond}, clock)
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -276,7 +276,7 @@
 	switch reply.(type) {
 	case exchange.Unreached, exchange.Broken:
 	default:
-		j.server.board.Heard(j.instance.Incarnation(), now)
+		j.server.board.RecordResponse(j.instance.Incarnation(), now)
 	}
 }
 
