--- a/internal/coordination/balance/burst_test.go
+++ b/internal/coordination/balance/burst_test.go
@@ -186,7 +186,7 @@
 	}
 	in, _ := b.Pick(f.all, w, clock)
 	b.Begin(in, clock)
-	b.Sent(in.Incarnation(), w, clock)
+	b.Reserve(in.Incarnation(), w, clock)
 	b.End(in.Incarnation(), balance.Result{Latency: time.Millisecond}, clock)
 	f.engines[in.ID].waiting = append(f.engines[in.ID].waiting, r)
 }
--- a/internal/coordination/balance/pick_cost_test.go
+++ b/internal/coordination/balance/pick_cost_test.go
@@ -29,7 +29,7 @@
 	board.Admit(all, w, at)
 	in, _ := board.Pick(all, w, at)
 	board.Begin(in, at)
-	board.Sent(in.Incarnation(), w, at)
+	board.Reserve(in.Incarnation(), w, at)
 	board.RecordResponse(in.Incarnation(), at)
 	board.End(in.Incarnation(), balance.Result{Latency: 50 * time.Millisecond}, at)
 }
--- a/internal/coordination/balance/room.go
+++ b/internal/coordination/balance/room.go
@@ -46,8 +46,8 @@
 // unseen is for how long an engine's own word may lack what was sent there.
 func (w PickInfo) unseen() time.Duration { return onTheWay + w.interval() }
 
-// Sent notes the memory that a request takes that goes to an engine.
-func (b *Balancer) Sent(to registry.Incarnation, w PickInfo, now time.Time) {
+// Reserve notes the memory that a request takes that goes to an engine.
+func (b *Balancer) Reserve(to registry.Incarnation, w PickInfo, now time.Time) {
 	l := b.load(to)
 	l.sent = append(l.sentSince(now, w.unseen()), sent{at: now, tokens: w.Tokens})
 }
--- a/internal/coordination/balance/room_test.go
+++ b/internal/coordination/balance/room_test.go
@@ -84,7 +84,7 @@
 		return tokens
 	}
 	for range 4 {
-		b.Sent(life(first), prompt(long, loads), now)
+		b.Reserve(life(first), prompt(long, loads), now)
 	}
 	if diff := cmp.Diff(memory-4*long, free(now)); diff != "" {
 		t.Error(diff)
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -101,7 +101,7 @@
 	j.server.Metrics.begin(j.service, j.condition)
 	j.server.failures.RecordRequest(j.service, j.team.Name, now)
 	if wish.Tokens > 0 {
-		board.Sent(in.Incarnation(), wish, now)
+		board.Reserve(in.Incarnation(), wish, now)
 	}
 	return nil
 }
