--- a/internal/coordination/balance/balance.go
+++ b/internal/coordination/balance/balance.go
@@ -155,9 +155,9 @@
 	l.avoidUntil = now.Add(min(pause, mostPause))
 }
 
-// Forget drops what is known of instances that were not used lately, and of the failure domains
+// Prune drops what is known of instances that were not used lately, and of the failure domains
 // that have no other.
-func (b *Balancer) Forget(before time.Time) {
+func (b *Balancer) Prune(before time.Time) {
 	known := len(b.loads) + len(b.domains)
 	used := map[string]bool{}
 	for of, l := range b.loads {
--- a/internal/coordination/balance/condition_test.go
+++ b/internal/coordination/balance/condition_test.go
@@ -92,7 +92,7 @@
 		if _, ok := b.Pick([]registry.Instance{tired}, balance.PickInfo{}, at); ok {
 			t.Fatalf("chosen after %d s", s)
 		}
-		b.Forget(at.Add(-time.Minute))
+		b.Prune(at.Add(-time.Minute))
 	}
 	tired.Start = 1
 	if _, ok := b.Pick([]registry.Instance{tired}, balance.PickInfo{}, now); !ok {
@@ -111,7 +111,7 @@
 		if _, ok := b.Pick([]registry.Instance{leaves}, balance.PickInfo{}, at); ok {
 			t.Fatalf("chosen after %d s", s)
 		}
-		b.Forget(at.Add(-time.Minute))
+		b.Prune(at.Add(-time.Minute))
 	}
 	if held := b.HeldBack([]registry.Instance{leaves}, balance.PickInfo{}, now); held != nil {
 		t.Errorf("a request is to wait for one that will end: %+v", held)
--- a/internal/coordination/balance/limit_test.go
+++ b/internal/coordination/balance/limit_test.go
@@ -91,7 +91,7 @@
 	for s := range 200 {
 		// Lists are joined anew all the time.
 		sent += b.sendFor(time.Duration(s)*time.Second, time.Second)
-		b.Forget(now.Add(time.Duration(s-1) * time.Second))
+		b.Prune(now.Add(time.Duration(s-1) * time.Second))
 	}
 	if sent > 20 {
 		t.Errorf("%d requests in 200 s to an instance that takes none", sent)
--- a/internal/transport/serving/serving.go
+++ b/internal/transport/serving/serving.go
@@ -147,7 +147,7 @@
 		case <-ticker.C:
 			now := clock.Now()
 			s.mu.Lock()
-			s.board.Forget(now.Add(-forgetAfter))
+			s.board.Prune(now.Add(-forgetAfter))
 			s.tellRequired(now)
 			s.mu.Unlock()
 		case <-ctx.Done():
