--- a/internal/coordination/balance/condition.go
+++ b/internal/coordination/balance/condition.go
@@ -53,9 +53,9 @@
 // rests reports whether an instance wants no request from this entry now.
 func (c *condition) rests(now time.Time) bool { return now.Before(c.restUntil) }
 
-// HeldBack says why a request finds no instance though there are some, by the one that takes it first. It
+// Backpressure says why a request finds no instance though there are some, by the one that takes it first. It
 // is one of Resting or Limited.
-type HeldBack interface{ heldBack() }
+type Backpressure interface{ heldBack() }
 
 // Resting says that the instance asked for rest.
 type Resting struct{ Left time.Duration }
@@ -68,8 +68,8 @@
 
 // HeldBack returns what holds a request back for which Pick finds none of some instances, or nil when
 // that is nothing that they said of themselves.
-func (b *Balancer) HeldBack(instances []registry.Instance, w PickInfo, now time.Time) HeldBack {
-	var first HeldBack
+func (b *Balancer) HeldBack(instances []registry.Instance, w PickInfo, now time.Time) Backpressure {
+	var first Backpressure
 	var least time.Duration
 	r := b.roster(instances, now)
 	for i := range r.candidates {
@@ -86,7 +86,7 @@
 }
 
 // heldBack returns what an instance said that keeps a request from it, and for how long.
-func (c *candidate) heldBack(w PickInfo, now time.Time) (held HeldBack, left time.Duration) {
+func (c *candidate) heldBack(w PickInfo, now time.Time) (held Backpressure, left time.Duration) {
 	switch {
 	case c.load.rests(now):
 		left = c.load.restUntil.Sub(now)
--- a/internal/coordination/balance/condition_test.go
+++ b/internal/coordination/balance/condition_test.go
@@ -21,7 +21,7 @@
 		say   func(b *balance.Balancer)
 		among []registry.Instance
 		wish  balance.PickInfo
-		want  balance.HeldBack
+		want  balance.Backpressure
 	}{
 		{"a limit", func(b *balance.Balancer) {
 			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
