--- a/internal/coordination/balance/condition.go
+++ b/internal/coordination/balance/condition.go
@@ -66,9 +66,9 @@
 func (Resting) heldBack() {}
 func (Limited) heldBack() {}
 
-// HeldBack returns what holds a request back for which Pick finds none of some instances, or nil when
+// Backpressure returns what holds a request back for which Pick finds none of some instances, or nil when
 // that is nothing that they said of themselves.
-func (b *Balancer) HeldBack(instances []registry.Instance, w PickInfo, now time.Time) Backpressure {
+func (b *Balancer) Backpressure(instances []registry.Instance, w PickInfo, now time.Time) Backpressure {
 	var first Backpressure
 	var least time.Duration
 	r := b.roster(instances, now)
--- a/internal/coordination/balance/condition_test.go
+++ b/internal/coordination/balance/condition_test.go
@@ -49,7 +49,7 @@
 			b := balance.New(1)
 			c.say(b)
 			_, ok := b.Pick(c.among, c.wish, at(3))
-			if diff := cmp.Diff(c.want, b.HeldBack(c.among, c.wish, at(3))); diff != "" {
+			if diff := cmp.Diff(c.want, b.Backpressure(c.among, c.wish, at(3))); diff != "" {
 				t.Error(diff)
 			}
 			if tried := len(c.wish.Tried) > 0; ok != (c.want == nil && !tried) {
@@ -113,7 +113,7 @@
 		}
 		b.Prune(at.Add(-time.Minute))
 	}
-	if held := b.HeldBack([]registry.Instance{leaves}, balance.PickInfo{}, now); held != nil {
+	if held := b.Backpressure([]registry.Instance{leaves}, balance.PickInfo{}, now); held != nil {
 		t.Errorf("a request is to wait for one that will end: %+v", held)
 	}
 	leaves.Start = 1
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -108,7 +108,7 @@
 
 // noInstance is the request's end when none of some instances takes it now; the server's mu must be held.
 func (j *job) noInstance(instances []registry.Instance, wish balance.PickInfo, now time.Time) outcome.Outcome {
-	switch held := j.server.board.HeldBack(instances, wish, now).(type) {
+	switch held := j.server.board.Backpressure(instances, wish, now).(type) {
 	case balance.Resting:
 		return j.tries.Reject(held.Left, outcome.ReasonResting)
 	case balance.Limited:
