--- a/internal/coordination/balance/condition.go
+++ b/internal/coordination/balance/condition.go
@@ -58,10 +58,10 @@
 type Backpressure interface{ heldBack() }
 
 // Resting says that the instance asked for rest.
-type Resting struct{ Left time.Duration }
+type Resting struct{ Remaining time.Duration }
 
 // Limited says that the instance has as many requests as it takes.
-type Limited struct{ Left time.Duration }
+type Limited struct{ Remaining time.Duration }
 
 func (Resting) heldBack() {}
 func (Limited) heldBack() {}
--- a/internal/coordination/balance/condition_test.go
+++ b/internal/coordination/balance/condition_test.go
@@ -26,22 +26,22 @@
 		{"a limit", func(b *balance.Balancer) {
 			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
 			b.Pick(both[:1], balance.PickInfo{}, at(0))
-		}, both[:1], balance.PickInfo{}, balance.Limited{Left: 7 * time.Second}},
+		}, both[:1], balance.PickInfo{}, balance.Limited{Remaining: 7 * time.Second}},
 		{"a limit that was taken back", func(b *balance.Balancer) {
 			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
 			b.NoteNoLimit(limited.Incarnation(), at(1))
 		}, both[:1], balance.PickInfo{}, nil},
-		{"another entry's turn", func(b *balance.Balancer) { b.NoteLimit(limited.Incarnation(), 0.5, at(0)) }, both[:1], balance.PickInfo{Entries: 300, Rank: 17}, balance.Limited{Left: 2 * time.Second}},
-		{"rest", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.PickInfo{}, balance.Resting{Left: 2 * time.Second}},
+		{"another entry's turn", func(b *balance.Balancer) { b.NoteLimit(limited.Incarnation(), 0.5, at(0)) }, both[:1], balance.PickInfo{Entries: 300, Rank: 17}, balance.Limited{Remaining: 2 * time.Second}},
+		{"rest", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.PickInfo{}, balance.Resting{Remaining: 2 * time.Second}},
 		{"a shorter rest later", func(b *balance.Balancer) {
 			b.NoteRest(tired.Incarnation(), at(5), at(0))
 			b.NoteRest(tired.Incarnation(), at(4), at(1))
-		}, both[1:], balance.PickInfo{}, balance.Resting{Left: 2 * time.Second}},
+		}, both[1:], balance.PickInfo{}, balance.Resting{Remaining: 2 * time.Second}},
 		{"the first of both", func(b *balance.Balancer) {
 			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
 			b.Pick(both[:1], balance.PickInfo{}, at(0))
 			b.NoteRest(tired.Incarnation(), at(5), at(0))
-		}, both, balance.PickInfo{}, balance.Resting{Left: 2 * time.Second}},
+		}, both, balance.PickInfo{}, balance.Resting{Remaining: 2 * time.Second}},
 		{"one that was tried", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.PickInfo{Tried: []registry.Incarnation{tired.Incarnation()}}, nil},
 		{"rest that is over", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(3), at(0)) }, both[1:], balance.PickInfo{}, nil},
 	} {
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -110,9 +110,9 @@
 func (j *job) noInstance(instances []registry.Instance, wish balance.PickInfo, now time.Time) outcome.Outcome {
 	switch held := j.server.board.Backpressure(instances, wish, now).(type) {
 	case balance.Resting:
-		return j.tries.Reject(held.Left, outcome.ReasonResting)
+		return j.tries.Reject(held.Remaining, outcome.ReasonResting)
 	case balance.Limited:
-		return j.tries.Reject(held.Left, outcome.ReasonLimited)
+		return j.tries.Reject(held.Remaining, outcome.ReasonLimited)
 	}
 	return j.tries.GiveUp()
 }
