--- a/internal/coordination/balance/condition.go
+++ b/internal/coordination/balance/condition.go
@@ -34,8 +34,8 @@
 	return began
 }
 
-// RestLeft returns for how long an instance wants no request from this entry, or 0.
-func (b *Balancer) RestLeft(of registry.Incarnation, now time.Time) time.Duration {
+// RestRemaining returns for how long an instance wants no request from this entry, or 0.
+func (b *Balancer) RestRemaining(of registry.Incarnation, now time.Time) time.Duration {
 	return max(0, b.load(of).restUntil.Sub(now))
 }
 
--- a/internal/transport/serving/condition.go
+++ b/internal/transport/serving/condition.go
@@ -81,7 +81,7 @@
 func (j *job) knownCondition(now time.Time) conditionKnown {
 	of := j.instance.Incarnation()
 	board := j.server.board
-	return conditionKnown{limit: board.Limit(of), restLeft: board.RestLeft(of, now), leaving: board.Leaving(of)}
+	return conditionKnown{limit: board.Limit(of), restLeft: board.RestRemaining(of, now), leaving: board.Leaving(of)}
 }
 
 // fields adds to a line what was known.
