--- a/internal/coordination/balance/cold.go
+++ b/internal/coordination/balance/cold.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// NoteCold takes what an answer of an instance says of until when it is cold, which may be before
+// SetColdUntil takes what an answer of an instance says of until when it is cold, which may be before
 // its next heartbeat does.
-func (b *Balancer) NoteCold(of registry.Incarnation, until time.Time) {
+func (b *Balancer) SetColdUntil(of registry.Incarnation, until time.Time) {
 	l := b.load(of)
 	l.coldUntil = latest(l.coldUntil, until)
 }
--- a/internal/coordination/balance/evacuation_test.go
+++ b/internal/coordination/balance/evacuation_test.go
@@ -79,7 +79,7 @@
 	b := balance.New(1)
 	two := instances(2)
 	w := balance.PickInfo{Key: keyOf(two, "i0"), Entries: 1, Cold: balance.Bound{Rate: 2, Most: 4}}
-	b.NoteCold(life("i0"), now.Add(time.Minute))
+	b.SetColdUntil(life("i0"), now.Add(time.Minute))
 	got := map[string]int{}
 	for n := range 100 {
 		at := now.Add(time.Duration(n) * 10 * time.Millisecond)
--- a/internal/transport/serving/condition.go
+++ b/internal/transport/serving/condition.go
@@ -16,7 +16,7 @@
 	of := j.instance.Incarnation()
 	board := j.server.board
 	if c.ColdFor > 0 {
-		board.NoteCold(of, now.Add(c.ColdFor))
+		board.SetColdUntil(of, now.Add(c.ColdFor))
 	}
 	if c.RestFor > 0 && board.NoteRest(of, now.Add(c.RestFor), now) {
 		j.noteRest(c.RestFor)
