--- a/internal/coordination/balance/condition.go
+++ b/internal/coordination/balance/condition.go
@@ -25,9 +25,9 @@
 	leaving bool
 }
 
-// NoteRest takes that an instance wants no request from this entry until some time, and reports whether it
+// SetRestUntil takes that an instance wants no request from this entry until some time, and reports whether it
 // wanted none already. An earlier end takes nothing back.
-func (b *Balancer) NoteRest(of registry.Incarnation, until, now time.Time) (began bool) {
+func (b *Balancer) SetRestUntil(of registry.Incarnation, until, now time.Time) (began bool) {
 	l := b.load(of)
 	began = !now.Before(l.restUntil)
 	l.restUntil = latest(l.restUntil, until)
--- a/internal/coordination/balance/condition_test.go
+++ b/internal/coordination/balance/condition_test.go
@@ -32,18 +32,18 @@
 			b.NoteNoLimit(limited.Incarnation(), at(1))
 		}, both[:1], balance.PickInfo{}, nil},
 		{"another entry's turn", func(b *balance.Balancer) { b.NoteLimit(limited.Incarnation(), 0.5, at(0)) }, both[:1], balance.PickInfo{Entries: 300, Rank: 17}, balance.Limited{Remaining: 2 * time.Second}},
-		{"rest", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.PickInfo{}, balance.Resting{Remaining: 2 * time.Second}},
+		{"rest", func(b *balance.Balancer) { b.SetRestUntil(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.PickInfo{}, balance.Resting{Remaining: 2 * time.Second}},
 		{"a shorter rest later", func(b *balance.Balancer) {
-			b.NoteRest(tired.Incarnation(), at(5), at(0))
-			b.NoteRest(tired.Incarnation(), at(4), at(1))
+			b.SetRestUntil(tired.Incarnation(), at(5), at(0))
+			b.SetRestUntil(tired.Incarnation(), at(4), at(1))
 		}, both[1:], balance.PickInfo{}, balance.Resting{Remaining: 2 * time.Second}},
 		{"the first of both", func(b *balance.Balancer) {
 			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
 			b.Pick(both[:1], balance.PickInfo{}, at(0))
-			b.NoteRest(tired.Incarnation(), at(5), at(0))
+			b.SetRestUntil(tired.Incarnation(), at(5), at(0))
 		}, both, balance.PickInfo{}, balance.Resting{Remaining: 2 * time.Second}},
-		{"one that was tried", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.PickInfo{Tried: []registry.Incarnation{tired.Incarnation()}}, nil},
-		{"rest that is over", func(b *balance.Balancer) { b.NoteRest(tired.Incarnation(), at(3), at(0)) }, both[1:], balance.PickInfo{}, nil},
+		{"one that was tried", func(b *balance.Balancer) { b.SetRestUntil(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.PickInfo{Tried: []registry.Incarnation{tired.Incarnation()}}, nil},
+		{"rest that is over", func(b *balance.Balancer) { b.SetRestUntil(tired.Incarnation(), at(3), at(0)) }, both[1:], balance.PickInfo{}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := balance.New(1)
@@ -72,7 +72,7 @@
 		"itself failing, and to be tried": {Failing: those(tired), Retryable: true}, "others tried": {Tried: []registry.Incarnation{other.Incarnation()}},
 	} {
 		b := balance.New(1)
-		b.NoteRest(tired.Incarnation(), now.Add(time.Second), now)
+		b.SetRestUntil(tired.Incarnation(), now.Add(time.Second), now)
 		for range 100 {
 			if in, ok := b.Pick(all, w, now); ok && in.ID == tired.ID {
 				t.Errorf("%s: chosen while it rests", name)
@@ -86,7 +86,7 @@
 func TestRestOutlastsDisuse(t *testing.T) {
 	tired := registry.Instance{ID: "tired", Slots: 4}
 	b := balance.New(1)
-	b.NoteRest(tired.Incarnation(), now.Add(time.Hour), now)
+	b.SetRestUntil(tired.Incarnation(), now.Add(time.Hour), now)
 	for s := range 200 {
 		at := now.Add(time.Duration(s) * time.Second)
 		if _, ok := b.Pick([]registry.Instance{tired}, balance.PickInfo{}, at); ok {
--- a/internal/transport/serving/condition.go
+++ b/internal/transport/serving/condition.go
@@ -18,7 +18,7 @@
 	if c.ColdFor > 0 {
 		board.SetColdUntil(of, now.Add(c.ColdFor))
 	}
-	if c.RestFor > 0 && board.NoteRest(of, now.Add(c.RestFor), now) {
+	if c.RestFor > 0 && board.SetRestUntil(of, now.Add(c.RestFor), now) {
 		j.noteRest(c.RestFor)
 	}
 	if c.Leaving && board.NoteLeaving(of) {
