--- a/internal/coordination/balance/condition.go
+++ b/internal/coordination/balance/condition.go
@@ -39,8 +39,8 @@
 	return max(0, b.load(of).restUntil.Sub(now))
 }
 
-// NoteLeaving takes that an instance will end, and reports whether that is news.
-func (b *Balancer) NoteLeaving(of registry.Incarnation) (news bool) {
+// SetLeaving takes that an instance will end, and reports whether that is news.
+func (b *Balancer) SetLeaving(of registry.Incarnation) (news bool) {
 	l := b.load(of)
 	news = !l.leaving
 	l.leaving = true
--- a/internal/coordination/balance/condition_test.go
+++ b/internal/coordination/balance/condition_test.go
@@ -105,7 +105,7 @@
 func TestLeavingHoldsForTheIncarnation(t *testing.T) {
 	leaves := registry.Instance{ID: "leaves", Slots: 4}
 	b := balance.New(1)
-	got := []bool{b.NoteLeaving(leaves.Incarnation()), b.NoteLeaving(leaves.Incarnation())}
+	got := []bool{b.SetLeaving(leaves.Incarnation()), b.SetLeaving(leaves.Incarnation())}
 	for s := range 200 {
 		at := now.Add(time.Duration(s) * time.Second)
 		if _, ok := b.Pick([]registry.Instance{leaves}, balance.PickInfo{}, at); ok {
--- a/internal/transport/serving/condition.go
+++ b/internal/transport/serving/condition.go
@@ -21,7 +21,7 @@
 	if c.RestFor > 0 && board.SetRestUntil(of, now.Add(c.RestFor), now) {
 		j.noteRest(c.RestFor)
 	}
-	if c.Leaving && board.NoteLeaving(of) {
+	if c.Leaving && board.SetLeaving(of) {
 		j.noteLeaving()
 	}
 	changed := false
