--- a/internal/coordination/balance/condition_test.go
+++ b/internal/coordination/balance/condition_test.go
@@ -24,21 +24,21 @@
 		want  balance.Backpressure
 	}{
 		{"a limit", func(b *balance.Balancer) {
-			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
+			b.SetLimit(limited.Incarnation(), 0.1, at(0))
 			b.Pick(both[:1], balance.PickInfo{}, at(0))
 		}, both[:1], balance.PickInfo{}, balance.Limited{Remaining: 7 * time.Second}},
 		{"a limit that was taken back", func(b *balance.Balancer) {
-			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
+			b.SetLimit(limited.Incarnation(), 0.1, at(0))
 			b.NoteNoLimit(limited.Incarnation(), at(1))
 		}, both[:1], balance.PickInfo{}, nil},
-		{"another entry's turn", func(b *balance.Balancer) { b.NoteLimit(limited.Incarnation(), 0.5, at(0)) }, both[:1], balance.PickInfo{Entries: 300, Rank: 17}, balance.Limited{Remaining: 2 * time.Second}},
+		{"another entry's turn", func(b *balance.Balancer) { b.SetLimit(limited.Incarnation(), 0.5, at(0)) }, both[:1], balance.PickInfo{Entries: 300, Rank: 17}, balance.Limited{Remaining: 2 * time.Second}},
 		{"rest", func(b *balance.Balancer) { b.SetRestUntil(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.PickInfo{}, balance.Resting{Remaining: 2 * time.Second}},
 		{"a shorter rest later", func(b *balance.Balancer) {
 			b.SetRestUntil(tired.Incarnation(), at(5), at(0))
 			b.SetRestUntil(tired.Incarnation(), at(4), at(1))
 		}, both[1:], balance.PickInfo{}, balance.Resting{Remaining: 2 * time.Second}},
 		{"the first of both", func(b *balance.Balancer) {
-			b.NoteLimit(limited.Incarnation(), 0.1, at(0))
+			b.SetLimit(limited.Incarnation(), 0.1, at(0))
 			b.Pick(both[:1], balance.PickInfo{}, at(0))
 			b.SetRestUntil(tired.Incarnation(), at(5), at(0))
 		}, both, balance.PickInfo{}, balance.Resting{Remaining: 2 * time.Second}},
--- a/internal/coordination/balance/limit.go
+++ b/internal/coordination/balance/limit.go
@@ -37,9 +37,9 @@
 	since time.Time
 }
 
-// NoteLimit takes the limit that an instance named in an answer, and reports whether it is another one
+// SetLimit takes the limit that an instance named in an answer, and reports whether it is another one
 // than was known.
-func (b *Balancer) NoteLimit(of registry.Incarnation, perSecond float64, now time.Time) (changed bool) {
+func (b *Balancer) SetLimit(of registry.Incarnation, perSecond float64, now time.Time) (changed bool) {
 	return b.load(of).note(Limit{Named: true, PerSecond: perSecond, At: now})
 }
 
--- a/internal/coordination/balance/limit_replay_test.go
+++ b/internal/coordination/balance/limit_replay_test.go
@@ -150,7 +150,7 @@
 		e.told = clock
 	}
 	if p.sharing == byTurns {
-		e.board.NoteLimit(in.Incarnation(), limitRate, clock)
+		e.board.SetLimit(in.Incarnation(), limitRate, clock)
 	}
 }
 
--- a/internal/coordination/balance/limit_test.go
+++ b/internal/coordination/balance/limit_test.go
@@ -44,7 +44,7 @@
 		{4.5, 600, 900}, {1, 150, 200}, {0.25, 40, 50}, {0.1, 10, 20}, {0, 10, 20}, {1e-12, 10, 20}, {1e300, 19000, 20000}, {math.MaxFloat64, 19000, 20000},
 	} {
 		b := newLimitedBoard(1)
-		b.NoteLimit(b.in.Incarnation(), c.perSecond, now)
+		b.SetLimit(b.in.Incarnation(), c.perSecond, now)
 		if sent := b.sendFor(0, length); sent < c.least || sent > c.most {
 			t.Errorf("%g a second: %d requests in %s, expected %d to %d", c.perSecond, sent, length, c.least, c.most)
 		}
@@ -58,11 +58,11 @@
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	got := []bool{
 		b.NoteNoLimit(of, at(0)),
-		b.NoteLimit(of, 4, at(100)),
-		b.NoteLimit(of, 4, at(110)),
+		b.SetLimit(of, 4, at(100)),
+		b.SetLimit(of, 4, at(110)),
 		b.NoteNoLimit(of, at(90)),
 		b.Limit(of).Named,
-		b.NoteLimit(of, 2, at(120)),
+		b.SetLimit(of, 2, at(120)),
 		b.NoteNoLimit(of, at(130)),
 		b.NoteNoLimit(of, at(140)),
 		b.Limit(of).Named,
@@ -76,8 +76,8 @@
 func TestUnreadableLimitLeavesTheKnownOne(t *testing.T) {
 	b := newLimitedBoard(1)
 	of := b.in.Incarnation()
-	b.NoteLimit(of, 4, now)
-	got := []bool{b.NoteUnreadableLimit(of), b.NoteUnreadableLimit(of), b.Limit(of).Named, b.NoteLimit(of, 4, now.Add(time.Second)), b.NoteUnreadableLimit(of)}
+	b.SetLimit(of, 4, now)
+	got := []bool{b.NoteUnreadableLimit(of), b.NoteUnreadableLimit(of), b.Limit(of).Named, b.SetLimit(of, 4, now.Add(time.Second)), b.NoteUnreadableLimit(of)}
 	if diff := cmp.Diff([]bool{true, false, true, false, true}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -86,7 +86,7 @@
 // A limit was forgotten with the load of an instance that is not used, as one that takes nothing is not.
 func TestLimitOutlastsDisuse(t *testing.T) {
 	b := newLimitedBoard(1)
-	b.NoteLimit(b.in.Incarnation(), 0, now)
+	b.SetLimit(b.in.Incarnation(), 0, now)
 	sent := 0
 	for s := range 200 {
 		// Lists are joined anew all the time.
@@ -101,7 +101,7 @@
 // The next incarnation at an address was held to the limit of the one before.
 func TestLimitEndsWithTheIncarnation(t *testing.T) {
 	b := newLimitedBoard(8)
-	b.NoteLimit(b.in.Incarnation(), 0, now)
+	b.SetLimit(b.in.Incarnation(), 0, now)
 	b.in.Start = 1
 	if sent := b.sendFor(0, time.Second); sent != 100 {
 		t.Errorf("%d of 100 requests", sent)
@@ -112,7 +112,7 @@
 func TestEntryThatIsToldWaitsFirst(t *testing.T) {
 	b := newLimitedBoard(1)
 	b.sendFor(0, time.Second)
-	b.NoteLimit(b.in.Incarnation(), 1, now.Add(time.Second))
+	b.SetLimit(b.in.Incarnation(), 1, now.Add(time.Second))
 	if sent := b.sendFor(time.Second, time.Second); sent > 0 {
 		t.Errorf("%d requests within a second of the limit of one a second", sent)
 	}
@@ -131,7 +131,7 @@
 	const rotation, rotations = 12600 * time.Millisecond, (entries + number - 1) / number
 	for rank := range entries {
 		b := balance.New(uint64(rank))
-		b.NoteLimit(in.Incarnation(), 4.5, now)
+		b.SetLimit(in.Incarnation(), 4.5, now)
 		w := balance.PickInfo{Entries: entries, Rank: rank}
 		asked := false
 		for at := time.Duration(0); at <= rotation*rotations && !asked; at += 100 * time.Millisecond {
--- a/internal/transport/serving/condition.go
+++ b/internal/transport/serving/condition.go
@@ -27,7 +27,7 @@
 	changed := false
 	switch limit := c.Limit.(type) {
 	case exchange.RateLimit:
-		changed = board.NoteLimit(of, limit.PerSecond, now)
+		changed = board.SetLimit(of, limit.PerSecond, now)
 	case exchange.NoLimit:
 		changed = board.NoteNoLimit(of, sent)
 	case exchange.UnreadableLimit:
