--- a/internal/coordination/balance/condition_test.go
+++ b/internal/coordination/balance/condition_test.go
@@ -29,7 +29,7 @@
 		}, both[:1], balance.PickInfo{}, balance.Limited{Remaining: 7 * time.Second}},
 		{"a limit that was taken back", func(b *balance.Balancer) {
 			b.SetLimit(limited.Incarnation(), 0.1, at(0))
-			b.NoteNoLimit(limited.Incarnation(), at(1))
+			b.ClearLimit(limited.Incarnation(), at(1))
 		}, both[:1], balance.PickInfo{}, nil},
 		{"another entry's turn", func(b *balance.Balancer) { b.SetLimit(limited.Incarnation(), 0.5, at(0)) }, both[:1], balance.PickInfo{Entries: 300, Rank: 17}, balance.Limited{Remaining: 2 * time.Second}},
 		{"rest", func(b *balance.Balancer) { b.SetRestUntil(tired.Incarnation(), at(5), at(0)) }, both[1:], balance.PickInfo{}, balance.Resting{Remaining: 2 * time.Second}},
--- a/internal/coordination/balance/limit.go
+++ b/internal/coordination/balance/limit.go
@@ -43,10 +43,10 @@
 	return b.load(of).note(Limit{Named: true, PerSecond: perSecond, At: now})
 }
 
-// NoteNoLimit takes that an instance named no limit in the answer to a request that was sent at some
+// ClearLimit takes that an instance named no limit in the answer to a request that was sent at some
 // time, and reports whether one was known. An answer may be overtaken by a later one that names a limit,
 // so only a request that was sent after the limit was heard takes it back.
-func (b *Balancer) NoteNoLimit(of registry.Incarnation, sent time.Time) (changed bool) {
+func (b *Balancer) ClearLimit(of registry.Incarnation, sent time.Time) (changed bool) {
 	return b.load(of).note(Limit{At: sent})
 }
 
--- a/internal/coordination/balance/limit_test.go
+++ b/internal/coordination/balance/limit_test.go
@@ -57,14 +57,14 @@
 	of := b.in.Incarnation()
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	got := []bool{
-		b.NoteNoLimit(of, at(0)),
+		b.ClearLimit(of, at(0)),
 		b.SetLimit(of, 4, at(100)),
 		b.SetLimit(of, 4, at(110)),
-		b.NoteNoLimit(of, at(90)),
+		b.ClearLimit(of, at(90)),
 		b.Limit(of).Named,
 		b.SetLimit(of, 2, at(120)),
-		b.NoteNoLimit(of, at(130)),
-		b.NoteNoLimit(of, at(140)),
+		b.ClearLimit(of, at(130)),
+		b.ClearLimit(of, at(140)),
 		b.Limit(of).Named,
 	}
 	if diff := cmp.Diff([]bool{false, true, false, false, true, true, true, false, false}, got); diff != "" {
--- a/internal/transport/serving/condition.go
+++ b/internal/transport/serving/condition.go
@@ -29,7 +29,7 @@
 	case exchange.RateLimit:
 		changed = board.SetLimit(of, limit.PerSecond, now)
 	case exchange.NoLimit:
-		changed = board.NoteNoLimit(of, sent)
+		changed = board.ClearLimit(of, sent)
 	case exchange.UnreadableLimit:
 		if board.NoteUnreadableLimit(of) {
 			j.server.Log.Warn().Str("event", "instance_limit_unreadable").Str("instance", of.ID).Int64("start", int64(of.Start)).
