--- a/internal/coordination/balance/limit.go
+++ b/internal/coordination/balance/limit.go
@@ -50,9 +50,9 @@
 	return b.load(of).note(Limit{At: sent})
 }
 
-// NoteUnreadableLimit takes that an instance named a limit that does not read; the one that is known
+// MarkLimitUnreadable takes that an instance named a limit that does not read; the one that is known
 // holds on. It reports whether the last word was readable.
-func (b *Balancer) NoteUnreadableLimit(of registry.Incarnation) (changed bool) {
+func (b *Balancer) MarkLimitUnreadable(of registry.Incarnation) (changed bool) {
 	l := b.load(of)
 	changed = !l.limitUnreadable
 	l.limitUnreadable = true
--- a/internal/coordination/balance/limit_test.go
+++ b/internal/coordination/balance/limit_test.go
@@ -77,7 +77,7 @@
 	b := newLimitedBoard(1)
 	of := b.in.Incarnation()
 	b.SetLimit(of, 4, now)
-	got := []bool{b.NoteUnreadableLimit(of), b.NoteUnreadableLimit(of), b.Limit(of).Named, b.SetLimit(of, 4, now.Add(time.Second)), b.NoteUnreadableLimit(of)}
+	got := []bool{b.MarkLimitUnreadable(of), b.MarkLimitUnreadable(of), b.Limit(of).Named, b.SetLimit(of, 4, now.Add(time.Second)), b.MarkLimitUnreadable(of)}
 	if diff := cmp.Diff([]bool{true, false, true, false, true}, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/transport/serving/condition.go
+++ b/internal/transport/serving/condition.go
@@ -31,7 +31,7 @@
 	case exchange.NoLimit:
 		changed = board.ClearLimit(of, sent)
 	case exchange.UnreadableLimit:
-		if board.NoteUnreadableLimit(of) {
+		if board.MarkLimitUnreadable(of) {
 			j.server.Log.Warn().Str("event", "instance_limit_unreadable").Str("instance", of.ID).Int64("start", int64(of.Start)).
 				Str("request", j.request.ID).Str("text", limit.Text).Msg("")
 		}
