--- a/internal/coordination/balance/limit.go
+++ b/internal/coordination/balance/limit.go
@@ -26,8 +26,8 @@
 
 // Limit is what an instance said last of how many requests it takes from all entries together.
 type Limit struct {
-	// Named is false when it takes as many as come.
-	Named bool
+	// Active is false when it takes as many as come.
+	Active bool
 	// PerSecond is how many requests a second it takes, at least 0.
 	PerSecond float64
 	// At is when it was heard, or, of one that is not named any more, when the request was sent whose
@@ -40,7 +40,7 @@
 // SetLimit takes the limit that an instance named in an answer, and reports whether it is another one
 // than was known.
 func (b *Balancer) SetLimit(of registry.Incarnation, perSecond float64, now time.Time) (changed bool) {
-	return b.load(of).note(Limit{Named: true, PerSecond: perSecond, At: now})
+	return b.load(of).note(Limit{Active: true, PerSecond: perSecond, At: now})
 }
 
 // ClearLimit takes that an instance named no limit in the answer to a request that was sent at some
@@ -70,11 +70,11 @@
 		return false
 	}
 	word.since = word.At
-	if known.Named {
+	if known.Active {
 		word.since = known.since
 	}
 	l.limit = word
-	changed = known.Named != word.Named || known.PerSecond != word.PerSecond
+	changed = known.Active != word.Active || known.PerSecond != word.PerSecond
 	if changed {
 		l.limitNext = time.Time{}
 	}
@@ -117,7 +117,7 @@
 // the turn before it, or sent freely until the limit was known, may have sent just now.
 func (c *candidate) withinLimit(w PickInfo, now time.Time) bool {
 	l := c.load
-	if !l.limit.Named {
+	if !l.limit.Active {
 		return true
 	}
 	pause, ok := l.limit.pause(w, c.hash, now)
@@ -133,7 +133,7 @@
 
 // noteSent notes that a request goes to an instance that may have a limit.
 func (c *candidate) noteSent(w PickInfo, now time.Time) {
-	if !c.load.limit.Named {
+	if !c.load.limit.Active {
 		return
 	}
 	if pause, ok := c.load.limit.pause(w, c.hash, now); ok {
--- a/internal/coordination/balance/limit_test.go
+++ b/internal/coordination/balance/limit_test.go
@@ -61,11 +61,11 @@
 		b.SetLimit(of, 4, at(100)),
 		b.SetLimit(of, 4, at(110)),
 		b.ClearLimit(of, at(90)),
-		b.Limit(of).Named,
+		b.Limit(of).Active,
 		b.SetLimit(of, 2, at(120)),
 		b.ClearLimit(of, at(130)),
 		b.ClearLimit(of, at(140)),
-		b.Limit(of).Named,
+		b.Limit(of).Active,
 	}
 	if diff := cmp.Diff([]bool{false, true, false, false, true, true, true, false, false}, got); diff != "" {
 		t.Error(diff)
@@ -77,7 +77,7 @@
 	b := newLimitedBoard(1)
 	of := b.in.Incarnation()
 	b.SetLimit(of, 4, now)
-	got := []bool{b.MarkLimitUnreadable(of), b.MarkLimitUnreadable(of), b.Limit(of).Named, b.SetLimit(of, 4, now.Add(time.Second)), b.MarkLimitUnreadable(of)}
+	got := []bool{b.MarkLimitUnreadable(of), b.MarkLimitUnreadable(of), b.Limit(of).Active, b.SetLimit(of, 4, now.Add(time.Second)), b.MarkLimitUnreadable(of)}
 	if diff := cmp.Diff([]bool{true, false, true, false, true}, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/transport/serving/condition.go
+++ b/internal/transport/serving/condition.go
@@ -63,8 +63,8 @@
 	in := j.instance
 	j.server.Metrics.limits.WithLabelValues(in.Service).Inc()
 	line := j.server.Log.Info().Str("event", "instance_limit").Str("instance", in.ID).Int64("start", int64(in.Start)).Str("service", in.Service).
-		Str("request", j.request.ID).Bool("limited", limit.Named)
-	if limit.Named {
+		Str("request", j.request.ID).Bool("limited", limit.Active)
+	if limit.Active {
 		line = line.Float64("per_second", limit.PerSecond)
 	}
 	line.Msg("")
@@ -86,7 +86,7 @@
 
 // fields adds to a line what was known.
 func (k conditionKnown) fields(line *log.Entry) *log.Entry {
-	if k.limit.Named {
+	if k.limit.Active {
 		line = line.Float64("limit", k.limit.PerSecond).Dur("limit_age_ms", clock.Since(k.limit.At))
 	}
 	if k.restLeft > 0 {
--- a/internal/transport/serving/metrics.go
+++ b/internal/transport/serving/metrics.go
@@ -103,7 +103,7 @@
 
 // begin counts an attempt by what its instance has said of itself.
 func (m *Metrics) begin(service string, to conditionKnown) {
-	if to.limit.Named {
+	if to.limit.Active {
 		m.limited.WithLabelValues(service).Inc()
 	}
 	if to.restLeft > 0 || to.leaving {
