--- a/internal/coordination/balance/cold.go
+++ b/internal/coordination/balance/cold.go
@@ -18,9 +18,9 @@
 	coldGroups = 2
 )
 
-// Bound is what an instance bears from all entries together in some span, a second while it is cold;
+// Capacity is what an instance bears from all entries together in some span, a second while it is cold;
 // its zero value is without a bound.
-type Bound struct {
+type Capacity struct {
 	// Rate is how many requests it bears in a span.
 	Rate float64
 	// Most is how many it must not get more of in any span, 0 where that is not declared.
@@ -28,7 +28,7 @@
 }
 
 // part is how many requests the entries that know of each other send an instance in a span.
-func (b Bound) part() int {
+func (b Capacity) part() int {
 	if b.Most <= 0 {
 		return max(1, int(coldShare*b.Rate))
 	}
--- a/internal/coordination/balance/limit.go
+++ b/internal/coordination/balance/limit.go
@@ -85,9 +85,9 @@
 func (l Limit) rate() float64 { return min(max(l.PerSecond, limitLeast), limitMost) }
 
 // bound is what an instance with a limit takes in limitSpan.
-func (l Limit) bound() Bound {
+func (l Limit) bound() Capacity {
 	number := l.rate() * limitSpan.Seconds()
-	return Bound{Rate: number, Most: limitOverage*number + limitSlack}
+	return Capacity{Rate: number, Most: limitOverage*number + limitSlack}
 }
 
 // interval is how much time lies between two requests of all entries.
--- a/internal/coordination/balance/pick.go
+++ b/internal/coordination/balance/pick.go
@@ -46,7 +46,7 @@
 	// them, from 0.
 	Entries, Rank int
 	// Cold is what an instance bears from all entries while it is cold.
-	Cold Bound
+	Cold Capacity
 	// ColdFor is for how long instances count as cold that are used again after an evacuation.
 	ColdFor time.Duration
 	// Evacuated holds the failure domains whose instances get no request, and Returned since when
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -31,8 +31,8 @@
 }
 
 // bound returns what a cold instance bears that bears so many requests a second.
-func (c Cold) bound(rate float64) balance.Bound {
-	out := balance.Bound{Rate: rate}
+func (c Cold) bound(rate float64) balance.Capacity {
+	out := balance.Capacity{Rate: rate}
 	if c.Overage > 0 {
 		out.Most = rate*c.Overage + c.Slack
 	}
