--- a/internal/coordination/balance/cold.go
+++ b/internal/coordination/balance/cold.go
@@ -23,16 +23,16 @@
 type Capacity struct {
 	// Rate is how many requests it bears in a span.
 	Rate float64
-	// Most is how many it must not get more of in any span, 0 where that is not declared.
-	Most float64
+	// Max is how many it must not get more of in any span, 0 where that is not declared.
+	Max float64
 }
 
 // part is how many requests the entries that know of each other send an instance in a span.
 func (b Capacity) part() int {
-	if b.Most <= 0 {
+	if b.Max <= 0 {
 		return max(1, int(coldShare*b.Rate))
 	}
-	return max(1, int(min(b.Rate, b.Most/coldGroups)))
+	return max(1, int(min(b.Rate, b.Max/coldGroups)))
 }
 
 // turn is how many of a number this entry gets: the entries take turns by their ranks, beginning with
--- a/internal/coordination/balance/cold_replay_test.go
+++ b/internal/coordination/balance/cold_replay_test.go
@@ -63,7 +63,7 @@
 	arrived := map[string][]time.Time{}
 	for at := time.Duration(0); at < coldAfter+coldFor; at += time.Duration(random.ExpFloat64() / rate * float64(time.Second)) {
 		e := random.IntN(r.entries)
-		w := balance.PickInfo{Entries: r.entries - side, Rank: e, Cold: balance.Capacity{Rate: coldRate, Most: coldMost}}
+		w := balance.PickInfo{Entries: r.entries - side, Rank: e, Cold: balance.Capacity{Rate: coldRate, Max: coldMost}}
 		if e >= w.Entries {
 			w.Entries, w.Rank = side, e-w.Entries
 		}
--- a/internal/coordination/balance/cold_test.go
+++ b/internal/coordination/balance/cold_test.go
@@ -29,7 +29,7 @@
 			for n := range 8 * rate {
 				at := now.Add(time.Duration(n) * time.Second / rate)
 				b := boards[n%entries]
-				w := balance.PickInfo{Entries: entries, Rank: n % entries, Cold: balance.Capacity{Rate: bears, Most: most}}
+				w := balance.PickInfo{Entries: entries, Rank: n % entries, Cold: balance.Capacity{Rate: bears, Max: most}}
 				if keyed {
 					w.Key = uint64(n)*0x9e3779b97f4a7c15 | 1
 				}
--- a/internal/coordination/balance/evacuation_test.go
+++ b/internal/coordination/balance/evacuation_test.go
@@ -59,7 +59,7 @@
 	for n := range 8 * rate {
 		at := now.Add(time.Duration(n) * time.Second / rate)
 		w := balance.PickInfo{
-			Entries: entries, Rank: n % entries, Cold: balance.Capacity{Rate: coldRate, Most: coldMost}, ColdFor: cold,
+			Entries: entries, Rank: n % entries, Cold: balance.Capacity{Rate: coldRate, Max: coldMost}, ColdFor: cold,
 			Returned: map[string]time.Time{"d1": now},
 		}
 		in, _ := boards[n%entries].Pick(all, w, at)
@@ -78,7 +78,7 @@
 func TestAnswerTellsOfCold(t *testing.T) {
 	b := balance.New(1)
 	two := instances(2)
-	w := balance.PickInfo{Key: keyOf(two, "i0"), Entries: 1, Cold: balance.Capacity{Rate: 2, Most: 4}}
+	w := balance.PickInfo{Key: keyOf(two, "i0"), Entries: 1, Cold: balance.Capacity{Rate: 2, Max: 4}}
 	b.SetColdUntil(life("i0"), now.Add(time.Minute))
 	got := map[string]int{}
 	for n := range 100 {
--- a/internal/coordination/balance/limit.go
+++ b/internal/coordination/balance/limit.go
@@ -87,7 +87,7 @@
 // bound is what an instance with a limit takes in limitSpan.
 func (l Limit) bound() Capacity {
 	number := l.rate() * limitSpan.Seconds()
-	return Capacity{Rate: number, Most: limitOverage*number + limitSlack}
+	return Capacity{Rate: number, Max: limitOverage*number + limitSlack}
 }
 
 // interval is how much time lies between two requests of all entries.
--- a/internal/coordination/balance/pick_cost_test.go
+++ b/internal/coordination/balance/pick_cost_test.go
@@ -37,7 +37,7 @@
 // wishOf is the n-th prompt of some tokens.
 func wishOf(n, tokens int, loads map[registry.Incarnation]balance.EngineLoad) balance.PickInfo {
 	return balance.PickInfo{
-		Key: uint64(n)*0x9e3779b97f4a7c15 | 1, Model: "m", Weights: 1, Tokens: tokens, Memory: 87_000, Loads: loads, Entries: 90, Cold: balance.Capacity{Rate: 14, Most: 26},
+		Key: uint64(n)*0x9e3779b97f4a7c15 | 1, Model: "m", Weights: 1, Tokens: tokens, Memory: 87_000, Loads: loads, Entries: 90, Cold: balance.Capacity{Rate: 14, Max: 26},
 	}
 }
 
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -34,7 +34,7 @@
 func (c Cold) bound(rate float64) balance.Capacity {
 	out := balance.Capacity{Rate: rate}
 	if c.Overage > 0 {
-		out.Most = rate*c.Overage + c.Slack
+		out.Max = rate*c.Overage + c.Slack
 	}
 	return out
 }
