--- a/internal/coordination/balance/balance.go
+++ b/internal/coordination/balance/balance.go
@@ -117,9 +117,9 @@
 
 // Result says how a request at an instance ended.
 type Result struct {
-	// Failed counts against the instance; Unreached also has it avoided for a while, and
+	// Failed counts against the instance; Unreachable also has it avoided for a while, and
 	// TimedOut says that nothing was heard from its address until the time was over.
-	Failed, Unreached, TimedOut bool
+	Failed, Unreachable, TimedOut bool
 	// Withdrawn says that this side ended it, as when the caller leaves, so that nothing follows
 	// for the instance.
 	Withdrawn bool
@@ -146,7 +146,7 @@
 	if r.TimedOut {
 		b.domain(l.domain).unreached[at] = true
 	}
-	if !r.Unreached {
+	if !r.Unreachable {
 		l.failures = 0
 		return
 	}
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -73,7 +73,7 @@
 	b := balance.New(1)
 	two := instances(2)
 	b.Begin(registry.Instance{ID: "i0"}, now)
-	b.End(life("i0"), balance.Result{Failed: true, Unreached: true}, now)
+	b.End(life("i0"), balance.Result{Failed: true, Unreachable: true}, now)
 	for range 20 {
 		if id := pick(t, b, two, balance.PickInfo{}); id != "i1" {
 			t.Fatalf("%s was chosen", id)
--- a/internal/coordination/balance/domains_test.go
+++ b/internal/coordination/balance/domains_test.go
@@ -94,7 +94,7 @@
 		}
 		lost++
 		at = at.Add(500 * time.Millisecond)
-		b.End(in.Incarnation(), balance.Result{Failed: true, Unreached: true, TimedOut: true}, at)
+		b.End(in.Incarnation(), balance.Result{Failed: true, Unreachable: true, TimedOut: true}, at)
 	}
 	if lost > 16 {
 		t.Errorf("%d of 200 ran into a timeout", lost)
@@ -110,7 +110,7 @@
 	for _, in := range spread()[4:] {
 		if in.FailureDomain == "d1" {
 			b.Begin(in, at)
-			b.End(in.Incarnation(), balance.Result{Failed: true, Unreached: true}, at)
+			b.End(in.Incarnation(), balance.Result{Failed: true, Unreachable: true}, at)
 		}
 	}
 	at = at.Add(3 * time.Second)
--- a/internal/coordination/balance/evacuation_test.go
+++ b/internal/coordination/balance/evacuation_test.go
@@ -36,7 +36,7 @@
 				}
 				// Nothing is ever heard of the other domains.
 				b.Begin(in, at)
-				b.End(in.Incarnation(), balance.Result{Failed: true, Unreached: true, TimedOut: true}, at)
+				b.End(in.Incarnation(), balance.Result{Failed: true, Unreachable: true, TimedOut: true}, at)
 			}
 		})
 	}
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -218,7 +218,7 @@
 		result.Latency = heard.Sub(began)
 		result.Failed = end.Status >= 500
 	case retry.Unreached, retry.Misdirected:
-		result.Failed, result.Unreached, result.TimedOut = true, true, timedOut(reply, err)
+		result.Failed, result.Unreachable, result.TimedOut = true, true, timedOut(reply, err)
 	case retry.Broken:
 		result.Failed, result.TimedOut = true, timedOut(reply, err)
 	case retry.CallerGone:
