--- a/internal/coordination/balance/balance.go
+++ b/internal/coordination/balance/balance.go
@@ -120,9 +120,9 @@
 	// Failed counts against the instance; Unreachable also has it avoided for a while, and
 	// TimedOut says that nothing was heard from its address until the time was over.
 	Failed, Unreachable, TimedOut bool
-	// Withdrawn says that this side ended it, as when the caller leaves, so that nothing follows
+	// Canceled says that this side ended it, as when the caller leaves, so that nothing follows
 	// for the instance.
-	Withdrawn bool
+	Canceled bool
 	// Latency is the time to the first byte of an answer, or 0 when there was none.
 	Latency time.Duration
 }
@@ -132,7 +132,7 @@
 	l := b.load(at)
 	l.inFlight--
 	l.seen = now
-	if r.Withdrawn {
+	if r.Canceled {
 		return
 	}
 	share := 0.0
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -150,7 +150,7 @@
 	}
 	for range 100 {
 		b.Begin(two[0], now)
-		b.End(life("i0"), balance.Result{Withdrawn: true}, now)
+		b.End(life("i0"), balance.Result{Canceled: true}, now)
 	}
 	for range 10 {
 		if id := pick(t, b, two, balance.PickInfo{}); id != "i1" {
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -222,11 +222,11 @@
 	case retry.Broken:
 		result.Failed, result.TimedOut = true, timedOut(reply, err)
 	case retry.CallerGone:
-		result.Withdrawn = true
+		result.Canceled = true
 	}
 	if withdrawn(end, watch) {
 		// The engine did nothing wrong.
-		result = balance.Result{Withdrawn: true}
+		result = balance.Result{Canceled: true}
 	}
 	j.server.mu.Lock()
 	j.server.board.End(j.instance.Incarnation(), result, clock.Now())
