--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -23,15 +23,15 @@
 	evacuatedAfter = 2 * time.Second
 )
 
-// Cold says how far above what a cold instance bears it may be sent in one second by all entries
+// ColdAllowance says how far above what a cold instance bears it may be sent in one second by all entries
 // together. Its zero value declares no bound.
-type Cold struct {
+type ColdAllowance struct {
 	// Overage is a factor and Slack a number of requests.
 	Overage, Slack float64
 }
 
 // bound returns what a cold instance bears that bears so many requests a second.
-func (c Cold) bound(rate float64) balance.Capacity {
+func (c ColdAllowance) bound(rate float64) balance.Capacity {
 	out := balance.Capacity{Rate: rate}
 	if c.Overage > 0 {
 		out.Max = rate*c.Overage + c.Slack
--- a/internal/transport/serving/serving.go
+++ b/internal/transport/serving/serving.go
@@ -89,7 +89,7 @@
 	// is without an end.
 	OldWeights time.Duration
 	// Cold bounds what cold instances are sent.
-	Cold Cold
+	Cold ColdAllowance
 	// Ends knows which instances ended under which requests; somebody else runs it. When nil, this
 	// server knows by itself what it sees itself.
 	Ends *ends.Tracker
