--- a/internal/transport/serving/begin.go
+++ b/internal/transport/serving/begin.go
@@ -34,7 +34,7 @@
 // watchBegin watches the present attempt, which ends with the context that it returns.
 func (j *job) watchBegin(ctx context.Context) (context.Context, *beginWatch) {
 	s := j.server
-	if s.OldWeights == 0 || !j.needsWeights(s.View()) {
+	if s.OldWeightsGrace == 0 || !j.needsWeights(s.View()) {
 		return ctx, &beginWatch{}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
--- a/internal/transport/serving/serving.go
+++ b/internal/transport/serving/serving.go
@@ -85,9 +85,9 @@
 	Upstreams exchange.Upstreams
 	// Allowance bounds repeated sends over all entries.
 	Allowance retry.Allowance
-	// OldWeights is how long after newer weights are named requests may begin on older ones; 0
+	// OldWeightsGrace is how long after newer weights are named requests may begin on older ones; 0
 	// is without an end.
-	OldWeights time.Duration
+	OldWeightsGrace time.Duration
 	// Cold bounds what cold instances are sent.
 	Cold ColdAllowance
 	// Ends knows which instances ended under which requests; somebody else runs it. When nil, this
--- a/internal/transport/serving/weights.go
+++ b/internal/transport/serving/weights.go
@@ -29,7 +29,7 @@
 
 // oldWeights is how long after a naming this process uses older weights.
 func (s *Server) oldWeights() time.Duration {
-	return s.OldWeights - min(weightsMargin, s.OldWeights/weightsMarginShare)
+	return s.OldWeightsGrace - min(weightsMargin, s.OldWeightsGrace/weightsMarginShare)
 }
 
 // requiredWeights returns the oldest version of a model on which a request may begin.
