--- a/internal/cli/platform_entry.go
+++ b/internal/cli/platform_entry.go
@@ -85,7 +85,7 @@
 		Allowance: retry.Allowance{Ratio: s.RetryRatio, Window: s.RetryWindow(), Slack: s.RetrySlack},
 	}
 	follower.Failed, follower.Failures = server.Failed(), server.Failures
-	server.Metrics.Follow(follower.View)
+	server.Metrics.RegisterView(follower.View)
 	server.Metrics.Include(tracker.Collectors())
 	return &platformEntry{
 		follower: follower, upstreams: upstreams, server: server, grace: s.Grace(), log: logger,
--- a/internal/transport/serving/metrics.go
+++ b/internal/transport/serving/metrics.go
@@ -55,9 +55,9 @@
 	return m
 }
 
-// Follow adds what a view says of the configuration: the version in force, and the newest that
+// RegisterView adds what a view says of the configuration: the version in force, and the newest that
 // is known to exist. The difference shows a process that lags. It must be called once.
-func (m *Metrics) Follow(view func() *fleet.View) {
+func (m *Metrics) RegisterView(view func() *fleet.View) {
 	inForce := func() float64 {
 		config := view().Config
 		if config == nil {
--- a/internal/transport/serving/metrics_test.go
+++ b/internal/transport/serving/metrics_test.go
@@ -17,7 +17,7 @@
 func TestMetricsShowALaggingConfiguration(t *testing.T) {
 	view := &fleet.View{}
 	metrics := serving.NewMetrics()
-	metrics.Follow(func() *fleet.View { return view })
+	metrics.RegisterView(func() *fleet.View { return view })
 	shown := func() []string {
 		w := httptest.NewRecorder()
 		metrics.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
