--- a/internal/cli/platform_entry.go
+++ b/internal/cli/platform_entry.go
@@ -86,7 +86,7 @@
 	}
 	follower.Failed, follower.Failures = server.Failed(), server.Failures
 	server.Metrics.RegisterView(follower.View)
-	server.Metrics.Include(tracker.Collectors())
+	server.Metrics.Register(tracker.Collectors())
 	return &platformEntry{
 		follower: follower, upstreams: upstreams, server: server, grace: s.Grace(), log: logger,
 		callers: &http.Server{
--- a/internal/transport/serving/metrics.go
+++ b/internal/transport/serving/metrics.go
@@ -81,8 +81,8 @@
 	)
 }
 
-// Include adds what another part counts.
-func (m *Metrics) Include(collectors []prometheus.Collector) { m.registry.MustRegister(collectors...) }
+// Register adds what another part counts.
+func (m *Metrics) Register(collectors []prometheus.Collector) { m.registry.MustRegister(collectors...) }
 
 // Handler serves the metrics as text.
 func (m *Metrics) Handler() http.Handler {
