--- a/internal/transport/serving/serving.go
+++ b/internal/transport/serving/serving.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// Failed is signalled when requests have failed at instances that answered.
-func (s *Server) Failed() <-chan struct{} {
+// FailuresPending is signalled when requests have failed at instances that answered.
+func (s *Server) FailuresPending() <-chan struct{} {
 	s.init()
 	return s.failed
 }
--- a/internal/transport/serving/start_test.go
+++ b/internal/transport/serving/start_test.go
@@ -54,7 +54,7 @@
 				var view atomic.Pointer[fleet.View]
 				view.Store(&fleet.View{Entries: 1})
 				server := &serving.Server{View: view.Load, Metrics: serving.NewMetrics(), Log: &log.Logger{Level: log.PanicLevel}}
-				server.Failed()
+				server.FailuresPending()
 				time.AfterFunc(known, func() { view.Store(&fleet.View{Entries: 1, Config: &deployment.Config{Version: 1}}) })
 				<-time.After(c.arrives)
 				e := &ending{}
@@ -74,7 +74,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		clocktest.New(t)
 		server := &serving.Server{View: func() *fleet.View { return &fleet.View{} }, Metrics: serving.NewMetrics(), Log: &log.Logger{Level: log.PanicLevel}}
-		server.Failed()
+		server.FailuresPending()
 		<-time.After(time.Minute)
 		e := &ending{}
 		began := time.Now()
