--- a/internal/transport/serving/serving.go
+++ b/internal/transport/serving/serving.go
@@ -162,8 +162,8 @@
 	return s.failed
 }
 
-// Failures returns what was seen of such instances since the last call.
-func (s *Server) Failures() []suspects.Failures {
+// TakeFailures returns what was seen of such instances since the last call.
+func (s *Server) TakeFailures() []suspects.Failures {
 	s.init()
 	s.mu.Lock()
 	defer s.mu.Unlock()
