--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -279,7 +279,7 @@
 // for that reason.
 func (b *Board) RestLeft(p Prompt, now time.Time) (left time.Duration, ok bool) {
 	q := routing.Prompt{Model: p.Model.Name(), Version: p.Version, Tried: p.Tried}
-	return routing.RestLeft(b.upstreams, &q, now)
+	return routing.BackoffRemaining(b.upstreams, &q, now)
 }
 
 // fetchable returns how many leading blocks one store holds, and the bandwidth a
--- a/internal/coordination/routing/choose_test.go
+++ b/internal/coordination/routing/choose_test.go
@@ -27,55 +27,55 @@
 	cases := []struct {
 		name  string
 		setup func(u []routing.Upstream, p *routing.Prompt)
-		want  int // -1 for none
+		want  int // -1: no upstream
 		fetch bool
 	}{
-		{"the one that has the context", func(_ []routing.Upstream, p *routing.Prompt) { p.Cached[1] = 90 }, 1, false},
-		{"not when its wait is longer than computing", func(u []routing.Upstream, p *routing.Prompt) {
+		{"upstream that has the prompt cached", func(_ []routing.Upstream, p *routing.Prompt) { p.Cached[1] = 90 }, 1, false},
+		{"cached, but the queue takes longer than recomputing", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Cached[1] = 50
 			u[1].NoteLoad(4, 4, 0, false)
 			u[0].SameDomain = false
 		}, 2, false},
-		{"prompts that wait to be computed count", func(u []routing.Upstream, p *routing.Prompt) {
+		{"queued prefill tokens count as wait", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Cached[1] = 50
 			u[1].NoteLoad(1, 0, 2000, false)
 			u[0].SameDomain = false
 		}, 2, false},
-		{"a fetch, when the link is faster", func(u []routing.Upstream, p *routing.Prompt) { p.Stored = 900; u[0].LinkRate, u[2].LinkRate = 1, 1 }, 1, true},
+		{"fetch over a fast link", func(u []routing.Upstream, p *routing.Prompt) { p.Stored = 900; u[0].LinkRate, u[2].LinkRate = 1, 1 }, 1, true},
 		{"no fetch over a slow link", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Stored, p.StoreRate = 900, 1e4
 			u[0].SameDomain, u[2].SameDomain = false, false
 		}, 1, false},
-		{"recomputing may cost more than time", func(u []routing.Upstream, p *routing.Prompt) {
+		{"recompute weight favors a fetch", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Stored, p.StoreRate = 900, 8e4
 			p.Weights.Recompute = 0.01
 			u[0].SameDomain, u[2].SameDomain = false, false
 		}, 1, true},
 		{"own failure domain first", func(u []routing.Upstream, _ *routing.Prompt) { u[0].SameDomain, u[1].SameDomain = false, false }, 2, false},
-		{"another domain when it pays", func(u []routing.Upstream, p *routing.Prompt) { u[0].SameDomain = false; p.Cached[0] = 90 }, 0, false},
+		{"other failure domain if cheaper", func(u []routing.Upstream, p *routing.Prompt) { u[0].SameDomain = false; p.Cached[0] = 90 }, 0, false},
 		{"never another model", func(u []routing.Upstream, p *routing.Prompt) { p.Cached[0] = 90; u[0].Model = "x"; u[1].Model = "x" }, 2, false},
 		{"never another weight version", func(u []routing.Upstream, p *routing.Prompt) { p.Cached[0] = 90; u[0].Version, u[1].Version = "w", "w" }, 2, false},
-		{"never one that leaves", func(u []routing.Upstream, p *routing.Prompt) {
+		{"never a leaving upstream", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Cached[0] = 90
 			u[0].NoteLoad(0, 0, 0, true)
 			u[1].NoteLeaving(true)
 		}, 2, false},
-		{"never one that the platform lists as leaving", func(u []routing.Upstream, p *routing.Prompt) {
+		{"never an upstream that the platform lists as leaving", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Cached[0] = 90
 			u[0].NoteListedLeaving(true)
 			u[1].NoteListedLeaving(true)
-			// A report that lags behind the list does not bring it back.
+			// A load report that is older than the list must not undo it.
 			u[1].NoteLoad(0, 0, 0, false)
 		}, 2, false},
-		{"never one that was tried", func(_ []routing.Upstream, p *routing.Prompt) { p.Cached[0] = 90; p.Tried = []int{0, 1} }, 2, false},
-		{"never one that fails again and again", func(u []routing.Upstream, p *routing.Prompt) {
+		{"never an upstream that was tried", func(_ []routing.Upstream, p *routing.Prompt) { p.Cached[0] = 90; p.Tried = []int{0, 1} }, 2, false},
+		{"never an ejected upstream", func(u []routing.Upstream, p *routing.Prompt) {
 			p.Cached[0] = 90
 			for range 3 {
 				u[0].NoteFailure(now)
 				u[1].NoteFailure(now)
 			}
 		}, 2, false},
-		{"none", func(_ []routing.Upstream, p *routing.Prompt) { p.Tried = []int{0, 1, 2} }, -1, false},
+		{"no eligible upstream", func(_ []routing.Upstream, p *routing.Prompt) { p.Tried = []int{0, 1, 2} }, -1, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestEjectionEndsSlowly checks that a failing upstream comes back with one run at a
-// time, and that each next ejection is longer.
-func TestEjectionEndsSlowly(t *testing.T) {
+// TestEjectionEndsHalfOpen checks that an ejected upstream first gets one run at a time when it
+// returns, and that each further ejection is longer.
+func TestEjectionEndsHalfOpen(t *testing.T) {
 	u := upstream()
 	for range 3 {
 		u.NoteFailure(now)
@@ -113,8 +113,9 @@
 	}
 }
 
-// TestEntriesDoNotHerd has eight entries hold one old report in which one upstream
-// is idle and the rest nearly so: they must not all send their prompts to it.
+// TestEntriesDoNotHerd guards against herding: eight entries hold the same outdated report, in
+// which one upstream is idle and the others nearly so, and must not all send their prompts to the
+// idle one.
 func TestEntriesDoNotHerd(t *testing.T) {
 	const entries, upstreams, prompts = 8, 20, 4
 	counts := make([]int, upstreams)
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -1,11 +1,10 @@
-// Package routing decides on which upstream a prompt runs, and whether its kept
-// context is fetched from a store first.
+// Package routing chooses the upstream for a prompt, and decides whether its stored KV cache is
+// fetched from a store first.
 //
-// For each upstream it estimates the time to the first token: the wait for a
-// slot, then the cheaper of recomputing and fetching what the engine does not
-// have. The score adds what recomputed tokens cost the deployment. Load reports
-// lag, so the entry's own runs, which it knows exactly, take the place of what
-// the report says of them.
+// For each upstream it estimates the time to first token: the wait for a slot, then the cheaper of
+// recomputing and fetching what the engine does not have cached. The score adds the weighted cost
+// of the recomputed tokens. Load reports lag, so the runs of this entry, which it can count
+// exactly, replace what the report says about them.
 package routing
 
 import (
@@ -13,101 +12,99 @@
 )
 
 const (
-	// meanMemory is the weight of a new run's duration in the running mean.
-	meanMemory = 0.1
-	// firstRun is the duration assumed before any run has ended.
-	firstRun = 2 * time.Second
-	// ejectAfter is how many failures in a row eject an upstream.
-	ejectAfter = 3
-	// ejectFirst is the first ejection's length; each next one doubles it up to
-	// ejectMost.
-	ejectFirst = time.Second
-	ejectMost  = 30 * time.Second
-	// returnTime is how long a returning upstream is only tried with one run.
-	returnTime = 2 * time.Second
+	// durationWeight is the weight of a new run's duration in the moving average.
+	durationWeight = 0.1
+	// defaultRunDuration is the duration assumed before any run has ended.
+	defaultRunDuration = 2 * time.Second
+	// ejectAfterFailures is how many consecutive failures eject an upstream.
+	ejectAfterFailures = 3
+	// minEjection is the length of the first ejection; each further one doubles it, up to
+	// maxEjection.
+	minEjection = time.Second
+	maxEjection = 30 * time.Second
+	// halfOpenTime is how long an upstream gets at most one run at a time after an ejection.
+	halfOpenTime = 2 * time.Second
 )
 
-// Upstream is what one entry knows of one engine.
+// Upstream is the state that one entry holds about one engine.
 type Upstream struct {
-	// Slots, PrefillRate (tokens a second) and LinkRate (bytes a second) are
-	// declared.
+	// Slots, PrefillRate (tokens per second) and LinkRate (bytes per second) are declared.
 	Slots       int
 	PrefillRate float64
 	LinkRate    float64
-	// Model, Version and Near say whether it may and should be used: Version is
-	// what the engine last said it serves, empty while unknown; Near is true in
-	// the entry's own failure domain.
+	// Version is the weight version that the engine last reported, empty while unknown. SameDomain
+	// is true for upstreams in the entry's own failure domain.
 	Model      string
 	Version    string
 	SameDomain bool
 
-	// leaving is set by declaration, report or refusal, and listed by the platform's
-	// list; either ends new work.
-	leaving, listed bool
-	// reported is what the last report said: running plus queued.
-	reported int
-	// ownAtReport is how many of this entry's runs were there at the report.
-	ownAtReport int
-	// own is how many of this entry's runs are there now.
-	own int
-	// reading, readingAtReport and reportedReading are the same for prompt tokens
-	// that wait to be computed: an engine computes one prompt after another.
-	reading, readingAtReport, reportedReading int
-	// mean is the running mean of how long runs hold a slot.
+	// leaving is set by the declared state, a load report or a refusal, and listedLeaving by the
+	// platform's list of instances. Either of them stops new runs.
+	leaving, listedLeaving bool
+	// reportedRuns is the number of running and queued runs in the last load report.
+	reportedRuns int
+	// ownRunsAtReport is the number of this entry's runs at the time of the report.
+	ownRunsAtReport int
+	// ownRuns is the number of this entry's runs now.
+	ownRuns int
+	// pendingTokens, pendingTokensAtReport and reportedPendingTokens are the same counts for prompt
+	// tokens that wait for prefill: an engine computes one prompt after another.
+	pendingTokens, pendingTokensAtReport, reportedPendingTokens int
+	// mean is the moving average of how long a run holds a slot.
 	mean time.Duration
-	// failures counts failures in a row; ejections those that ended in one.
+	// failures counts consecutive failures, and ejections counts consecutive ejections.
 	failures, ejections int
 	ejectedUntil        time.Time
-	returningUntil      time.Time
-	// restUntil is until when it wants nothing from this entry.
-	restUntil time.Time
+	halfOpenUntil       time.Time
+	// backoffUntil is the time until which the upstream asked for no runs from this entry.
+	backoffUntil time.Time
 }
 
-// NoteLoad takes a load report; reading is the prompt tokens that wait there to be
-// computed.
-func (u *Upstream) NoteLoad(running, queued, reading int, leaving bool) {
-	u.reported = running + queued
-	u.ownAtReport = u.own
-	u.reportedReading = reading
-	u.readingAtReport = u.reading
+// NoteLoad records a load report; pendingTokens is the number of prompt tokens that wait for
+// prefill at the engine.
+func (u *Upstream) NoteLoad(running, queued, pendingTokens int, leaving bool) {
+	u.reportedRuns = running + queued
+	u.ownRunsAtReport = u.ownRuns
+	u.reportedPendingTokens = pendingTokens
+	u.pendingTokensAtReport = u.pendingTokens
 	u.leaving = u.leaving || leaving
 }
 
-// NoteLeaving ends new work there, or begins it again.
+// NoteLeaving stops new runs on the upstream, or allows them again.
 func (u *Upstream) NoteLeaving(leaving bool) { u.leaving = leaving }
 
-// NoteListedLeaving takes what the platform's list says.
-func (u *Upstream) NoteListedLeaving(leaving bool) { u.listed = leaving }
+// NoteListedLeaving records whether the platform's list has the instance as leaving.
+func (u *Upstream) NoteListedLeaving(leaving bool) { u.listedLeaving = leaving }
 
-// Leaving reports whether the upstream takes no new work.
-func (u *Upstream) Leaving() bool { return u.leaving || u.listed }
+// Leaving reports whether the upstream accepts no new runs.
+func (u *Upstream) Leaving() bool { return u.leaving || u.listedLeaving }
 
-// NoteBackoff takes that the upstream wants no run from this entry until some time; an earlier end takes
-// nothing back.
+// NoteBackoff records that the upstream asked for no runs from this entry until a time. It never
+// shortens a backoff.
 func (u *Upstream) NoteBackoff(until time.Time) {
-	if until.After(u.restUntil) {
-		u.restUntil = until
+	if until.After(u.backoffUntil) {
+		u.backoffUntil = until
 	}
 }
 
-// ClearBackoff forgets a rest, as another process has the upstream's place.
-func (u *Upstream) ClearBackoff() { u.restUntil = time.Time{} }
+// ClearBackoff ends the backoff, because another process has taken the upstream's address.
+func (u *Upstream) ClearBackoff() { u.backoffUntil = time.Time{} }
 
-// InBackoff reports whether the upstream wants no run from this entry now.
-func (u *Upstream) InBackoff(now time.Time) bool { return now.Before(u.restUntil) }
+// InBackoff reports whether the upstream asked for no runs from this entry at this time.
+func (u *Upstream) InBackoff(now time.Time) bool { return now.Before(u.backoffUntil) }
 
-// Begin notes a dispatch; tokens is how many of the prompt are to be computed.
+// Begin records a dispatch; tokens is how many tokens of the prompt are to be computed.
 func (u *Upstream) Begin(tokens int) {
-	u.own++
-	u.reading += tokens
+	u.ownRuns++
+	u.pendingTokens += tokens
 }
 
-// FirstToken notes that the tokens of a dispatch are computed, or never will be.
-func (u *Upstream) FirstToken(tokens int) { u.reading -= tokens }
+// FirstToken records that the tokens of a dispatch were computed, or never will be.
+func (u *Upstream) FirstToken(tokens int) { u.pendingTokens -= tokens }
 
-// End notes the end of a run that held a slot for d; d is 0 when it never ran.
+// End records the end of a run that held a slot for d; d is 0 if the run never started.
 func (u *Upstream) End(d time.Duration) {
-	u.own--
+	u.ownRuns--
 	if d <= 0 {
 		return
 	}
@@ -115,39 +112,39 @@
 		u.mean = d
 		return
 	}
-	u.mean += time.Duration(meanMemory * float64(d-u.mean))
+	u.mean += time.Duration(durationWeight * float64(d-u.mean))
 }
 
-// NoteSuccess ends a row of failures.
+// NoteSuccess resets the counts of consecutive failures and ejections.
 func (u *Upstream) NoteSuccess() {
 	u.failures = 0
 	u.ejections = 0
 }
 
-// NoteProbeSuccess ends a row of failures to answer questions; it does not vouch for
-// runs, so an ejection takes its course.
+// NoteProbeSuccess resets the count of consecutive failures if no run is in flight. An answered
+// status probe does not prove that runs succeed, so a current ejection stays in force.
 func (u *Upstream) NoteProbeSuccess() {
-	if u.own == 0 {
+	if u.ownRuns == 0 {
 		u.failures = 0
 	}
 }
 
-// NoteFailure counts a failure, and ejects the upstream after several in a row.
+// NoteFailure counts a failure, and ejects the upstream after ejectAfterFailures consecutive ones.
 func (u *Upstream) NoteFailure(now time.Time) {
 	u.failures++
-	if u.failures < ejectAfter {
+	if u.failures < ejectAfterFailures {
 		return
 	}
-	u.failures = ejectAfter - 1
-	length := min(ejectFirst<<u.ejections, ejectMost)
+	u.failures = ejectAfterFailures - 1
+	length := min(minEjection<<u.ejections, maxEjection)
 	if u.ejections < 16 {
 		u.ejections++
 	}
 	u.ejectedUntil = now.Add(length)
-	u.returningUntil = u.ejectedUntil.Add(returnTime)
+	u.halfOpenUntil = u.ejectedUntil.Add(halfOpenTime)
 }
 
-// Ejected reports whether the upstream is out of use for its failures.
+// Ejected reports whether the upstream gets no run because of its failures.
 func (u *Upstream) Ejected(now time.Time) bool {
 	if u.ejections == 0 {
 		return false
@@ -155,30 +152,30 @@
 	if now.Before(u.ejectedUntil) {
 		return true
 	}
-	return now.Before(u.returningUntil) && u.own > 0
+	return now.Before(u.halfOpenUntil) && u.ownRuns > 0
 }
 
-// occupied estimates how many runs are there: this entry's own, which it knows,
-// and those of others, which only the last report tells.
-func (u *Upstream) occupied() int {
-	return u.own + max(u.reported-u.ownAtReport, 0)
+// occupancy estimates how many runs the upstream has: this entry's own, which are known, plus those
+// of other entries according to the last report.
+func (u *Upstream) occupancy() int {
+	return u.ownRuns + max(u.reportedRuns-u.ownRunsAtReport, 0)
 }
 
-// wait estimates in seconds how long a new run waits for a slot and for the prompts
-// before it.
-func (u *Upstream) wait() float64 {
-	waiting := u.reading + max(u.reportedReading-u.readingAtReport, 0)
-	return float64(waiting)/u.PrefillRate + u.waitForSlot()
+// expectedWait estimates, in seconds, how long a new run waits for a slot and for the prefill of
+// the prompts before it.
+func (u *Upstream) expectedWait() float64 {
+	waiting := u.pendingTokens + max(u.reportedPendingTokens-u.pendingTokensAtReport, 0)
+	return float64(waiting)/u.PrefillRate + u.expectedSlotWait()
 }
 
-func (u *Upstream) waitForSlot() float64 {
-	ahead := u.occupied() - u.Slots + 1
+func (u *Upstream) expectedSlotWait() float64 {
+	ahead := u.occupancy() - u.Slots + 1
 	if ahead <= 0 {
 		return 0
 	}
 	mean := u.mean
 	if mean == 0 {
-		mean = firstRun
+		mean = defaultRunDuration
 	}
 	return float64(ahead) * mean.Seconds() / float64(u.Slots)
 }
