--- a/internal/cli/platform_entry.go
+++ b/internal/cli/platform_entry.go
@@ -74,7 +74,7 @@
 	}
 	tracker := &ends.Tracker{
 		Entries:    func() int { return follower.View().Entries },
-		Succession: func() func(registry.Instance) bool { return follower.View().Superseded() },
+		SupersededCheck: func() func(registry.Instance) bool { return follower.View().Superseded() },
 		Metrics:    ends.NewMetrics(), Log: logger,
 	}
 	follower.Ends = tracker
--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -58,9 +58,9 @@
 type Tracker struct {
 	// Entries returns how many entries serve.
 	Entries func() int
-	// Succession returns what tells whether another incarnation has an instance's id or address
+	// SupersededCheck returns what tells whether another incarnation has an instance's id or address
 	// now; nil where instances do not tell.
-	Succession func() func(registry.Instance) bool
+	SupersededCheck func() func(registry.Instance) bool
 	// Startless says that instances do not tell when they started, so that no incarnation can be
 	// known by name, and none that is taken for ended is heard again.
 	Startless bool
@@ -282,10 +282,10 @@
 // review looks whether other incarnations have taken the place of those at which attempts broke
 // off, or that are taken for ended.
 func (t *Tracker) review(now time.Time) {
-	if t.Succession == nil || !t.unsettled() {
+	if t.SupersededCheck == nil || !t.unsettled() {
 		return
 	}
-	superseded := t.Succession()
+	superseded := t.SupersededCheck()
 	for _, b := range t.over(superseded, now) {
 		t.ended(b.Attempt, signSuperseded, b.at)
 	}
--- a/internal/transport/ends/ends_test.go
+++ b/internal/transport/ends/ends_test.go
@@ -46,7 +46,7 @@
 func TestBrokenAttemptIsReviewed(t *testing.T) {
 	next := make(chan struct{})
 	tracker := newTracker()
-	tracker.Succession = func() func(registry.Instance) bool {
+	tracker.SupersededCheck = func() func(registry.Instance) bool {
 		return func(in registry.Instance) bool {
 			select {
 			case <-next:
