--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -61,9 +61,9 @@
 	// SupersededCheck returns what tells whether another incarnation has an instance's id or address
 	// now; nil where instances do not tell.
 	SupersededCheck func() func(registry.Instance) bool
-	// Startless says that instances do not tell when they started, so that no incarnation can be
+	// NoStartTimes says that instances do not tell when they started, so that no incarnation can be
 	// known by name, and none that is taken for ended is heard again.
-	Startless bool
+	NoStartTimes bool
 	// Metrics counts the ends.
 	Metrics *Metrics
 	// Log receives one line for each event.
@@ -222,7 +222,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	of := a.To.Incarnation()
-	if t.Startless {
+	if t.NoStartTimes {
 		of.Start = -registry.Start(at.UnixMilli())
 	}
 	fact := quarantine.Ended{Digest: a.Digest, Of: of, Address: a.To.Address, Sent: a.Sent, At: at}
--- a/internal/transport/entry/ends.go
+++ b/internal/transport/entry/ends.go
@@ -17,7 +17,7 @@
 // initEnds makes what tracks the ends of instances. Upstreams here do not tell when they started.
 func (e *Entry) initEnds() {
 	if e.Ends == nil {
-		e.Ends = &ends.Tracker{Entries: e.live, Startless: true, Metrics: ends.NewMetrics(), Log: e.Log}
+		e.Ends = &ends.Tracker{Entries: e.live, NoStartTimes: true, Metrics: ends.NewMetrics(), Log: e.Log}
 	}
 	e.metrics.registry.MustRegister(e.Ends.Collectors()...)
 }
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -51,7 +51,7 @@
 	m.Peers = &peers.Peers{
 		Name: name, FailureDomain: domain, Listener: listener, Seeds: seeds, Feed: feed.New(), Interval: 20 * time.Millisecond,
 		Log:   quiet,
-		Ends:  &ends.Tracker{Entries: func() int { return 1 }, Startless: true, Metrics: ends.NewMetrics(), Log: quiet},
+		Ends:  &ends.Tracker{Entries: func() int { return 1 }, NoStartTimes: true, Metrics: ends.NewMetrics(), Log: quiet},
 		Find:  m.find,
 		Apply: m.apply,
 		Lend:  m.lend,
