--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -148,9 +148,9 @@
 // Refuses reports whether an instance's address refuses connections.
 type Refuses func(ctx context.Context, in registry.Instance) bool
 
-// Broke takes the end of an attempt whose answer was not whole, though this side did not end it.
+// RecordBroken takes the end of an attempt whose answer was not whole, though this side did not end it.
 // refuses is nil where its connection did not close, so that there is nothing to ask.
-func (t *Tracker) Broke(ctx context.Context, a Attempt, refuses Refuses) {
+func (t *Tracker) RecordBroken(ctx context.Context, a Attempt, refuses Refuses) {
 	t.init()
 	if refuses != nil && ask(ctx, a.To, refuses) {
 		t.ended(a, signRefused, clock.Now())
--- a/internal/transport/ends/ends_test.go
+++ b/internal/transport/ends/ends_test.go
@@ -60,8 +60,8 @@
 	done := make(chan struct{})
 	go func() { tracker.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	tracker.Broke(context.Background(), attempt(1, "a"), nil)
-	tracker.Broke(context.Background(), attempt(2, "b"), nil)
+	tracker.RecordBroken(context.Background(), attempt(1, "a"), nil)
+	tracker.RecordBroken(context.Background(), attempt(2, "b"), nil)
 	tracker.Left(attempt(3, "a"))
 	if diff := cmp.Diff([]int{0, 0, 0}, []int{endsOf(tracker, 1), endsOf(tracker, 2), endsOf(tracker, 3)}); diff != "" {
 		t.Error("closed connections count: " + diff)
@@ -76,10 +76,10 @@
 // What was at an instance that refuses connections ended with it, whoever finds out.
 func TestRefusalTellsOfAllThatWasThere(t *testing.T) {
 	tracker := newTracker()
-	tracker.Broke(context.Background(), attempt(1, "a"), nil)
+	tracker.RecordBroken(context.Background(), attempt(1, "a"), nil)
 	tracker.Left(attempt(2, "a"))
-	tracker.Broke(context.Background(), attempt(3, "b"), nil)
-	tracker.Broke(context.Background(), attempt(4, "a"), refuses)
+	tracker.RecordBroken(context.Background(), attempt(3, "b"), nil)
+	tracker.RecordBroken(context.Background(), attempt(4, "a"), refuses)
 	got := []int{endsOf(tracker, 1), endsOf(tracker, 2), endsOf(tracker, 3), endsOf(tracker, 4)}
 	if diff := cmp.Diff([]int{1, 1, 0, 1}, got); diff != "" {
 		t.Error(diff)
@@ -89,7 +89,7 @@
 // An instance that was taken for ended and answers what was sent to it since had not.
 func TestInstanceThatAnswersHadNotEnded(t *testing.T) {
 	tracker := newTracker()
-	tracker.Broke(context.Background(), attempt(1, "a"), refuses)
+	tracker.RecordBroken(context.Background(), attempt(1, "a"), refuses)
 	tracker.Heard(attempt(2, "b"))
 	if diff := cmp.Diff(1, endsOf(tracker, 1)); diff != "" {
 		t.Error("another instance's word: " + diff)
@@ -134,7 +134,7 @@
 	tracker := newTracker()
 	random := rand.New(rand.NewPCG(1, 2))
 	for n := range 1024 {
-		tracker.Broke(context.Background(), attempt(n, fmt.Sprint(random.Uint64())), refuses)
+		tracker.RecordBroken(context.Background(), attempt(n, fmt.Sprint(random.Uint64())), refuses)
 	}
 	n := 0
 	for b.Loop() {
@@ -149,7 +149,7 @@
 func BenchmarkNothingUntold(b *testing.B) {
 	tracker := newTracker()
 	for n := range 1024 {
-		tracker.Broke(context.Background(), attempt(n, fmt.Sprint(n)), refuses)
+		tracker.RecordBroken(context.Background(), attempt(n, fmt.Sprint(n)), refuses)
 	}
 	told := ends.NewTold()
 	for len(tracker.Untold(told)) > 0 {
@@ -188,11 +188,11 @@
 		a := attempt(n, fmt.Sprint("i-", n))
 		switch n % 10 {
 		case 0:
-			tracker.Broke(context.Background(), a, nil)
+			tracker.RecordBroken(context.Background(), a, nil)
 		case 1:
 			tracker.Left(a)
 		case 2:
-			tracker.Broke(context.Background(), a, func(context.Context, registry.Instance) bool { return n%100 == 2 })
+			tracker.RecordBroken(context.Background(), a, func(context.Context, registry.Instance) bool { return n%100 == 2 })
 		default:
 			tracker.Whole(a)
 		}
@@ -212,7 +212,7 @@
 	const looks, most = 1000, 100 * time.Millisecond
 	tracker := newTracker()
 	for n := range 1024 {
-		tracker.Broke(context.Background(), attempt(n, fmt.Sprint(n)), refuses)
+		tracker.RecordBroken(context.Background(), attempt(n, fmt.Sprint(n)), refuses)
 	}
 	told := ends.NewTold()
 	for facts := tracker.Untold(told); len(facts) > 0; facts = tracker.Untold(told) {
--- a/internal/transport/entry/ends.go
+++ b/internal/transport/entry/ends.go
@@ -64,7 +64,7 @@
 	case retry.CallerGone:
 		e.Ends.Left(a)
 	case retry.Broken:
-		e.Ends.Broke(ctx, a, e.upstreams.Refuses)
+		e.Ends.RecordBroken(ctx, a, e.upstreams.Refuses)
 	}
 }
 
@@ -80,7 +80,7 @@
 			e.Ends.Left(a)
 			return
 		}
-		e.Ends.Broke(ctx, a, e.upstreams.Refuses)
+		e.Ends.RecordBroken(ctx, a, e.upstreams.Refuses)
 	}
 }
 
--- a/internal/transport/fleet/facts_test.go
+++ b/internal/transport/fleet/facts_test.go
@@ -32,7 +32,7 @@
 // see has an entry see that an instance ended under the deadly request.
 func see(tracker *ends.Tracker, instance string) {
 	in := registry.Instance{ID: instance, Address: "at " + instance}
-	tracker.Broke(context.Background(), ends.Attempt{Request: "r", Digest: deadlyRequest, To: in, Sent: time.Now()}, refuses)
+	tracker.RecordBroken(context.Background(), ends.Attempt{Request: "r", Digest: deadlyRequest, To: in, Sent: time.Now()}, refuses)
 }
 
 // holds reports whether an entry holds the deadly request.
--- a/internal/transport/peers/facts_test.go
+++ b/internal/transport/peers/facts_test.go
@@ -21,7 +21,7 @@
 
 // see has an entry see that an instance ended under the deadly request.
 func (m *member) see(instance string) {
-	m.Ends.Broke(context.Background(), ends.Attempt{Request: "r", Digest: deadlyRequest, To: registry.Instance{ID: instance, Address: "at " + instance}, Sent: time.Now().Add(-runTime)}, refuses)
+	m.Ends.RecordBroken(context.Background(), ends.Attempt{Request: "r", Digest: deadlyRequest, To: registry.Instance{ID: instance, Address: "at " + instance}, Sent: time.Now().Add(-runTime)}, refuses)
 }
 
 func (m *member) holds() bool {
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -63,7 +63,7 @@
 		case gone:
 			tracker.Superseded(a)
 		case view.Lives(a.To):
-			tracker.Broke(ctx, a, j.asker(err))
+			tracker.RecordBroken(ctx, a, j.asker(err))
 		case view.Superseded()(a.To):
 			tracker.Superseded(a)
 		default:
