--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -168,9 +168,9 @@
 	return refuses(ctx, in)
 }
 
-// Left takes an attempt whose caller left before there was an answer. The request may run on, and
+// RecordAbandoned takes an attempt whose caller left before there was an answer. The request may run on, and
 // end the instance.
-func (t *Tracker) Left(a Attempt) {
+func (t *Tracker) RecordAbandoned(a Attempt) {
 	t.init()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/transport/ends/ends_test.go
+++ b/internal/transport/ends/ends_test.go
@@ -62,7 +62,7 @@
 	t.Cleanup(func() { cancel(); <-done })
 	tracker.RecordBroken(context.Background(), attempt(1, "a"), nil)
 	tracker.RecordBroken(context.Background(), attempt(2, "b"), nil)
-	tracker.Left(attempt(3, "a"))
+	tracker.RecordAbandoned(attempt(3, "a"))
 	if diff := cmp.Diff([]int{0, 0, 0}, []int{endsOf(tracker, 1), endsOf(tracker, 2), endsOf(tracker, 3)}); diff != "" {
 		t.Error("closed connections count: " + diff)
 	}
@@ -77,7 +77,7 @@
 func TestRefusalTellsOfAllThatWasThere(t *testing.T) {
 	tracker := newTracker()
 	tracker.RecordBroken(context.Background(), attempt(1, "a"), nil)
-	tracker.Left(attempt(2, "a"))
+	tracker.RecordAbandoned(attempt(2, "a"))
 	tracker.RecordBroken(context.Background(), attempt(3, "b"), nil)
 	tracker.RecordBroken(context.Background(), attempt(4, "a"), refuses)
 	got := []int{endsOf(tracker, 1), endsOf(tracker, 2), endsOf(tracker, 3), endsOf(tracker, 4)}
@@ -190,7 +190,7 @@
 		case 0:
 			tracker.RecordBroken(context.Background(), a, nil)
 		case 1:
-			tracker.Left(a)
+			tracker.RecordAbandoned(a)
 		case 2:
 			tracker.RecordBroken(context.Background(), a, func(context.Context, registry.Instance) bool { return n%100 == 2 })
 		default:
--- a/internal/transport/entry/ends.go
+++ b/internal/transport/entry/ends.go
@@ -62,7 +62,7 @@
 			e.Ends.Whole(a)
 		}
 	case retry.CallerGone:
-		e.Ends.Left(a)
+		e.Ends.RecordAbandoned(a)
 	case retry.Broken:
 		e.Ends.RecordBroken(ctx, a, e.upstreams.Refuses)
 	}
@@ -77,7 +77,7 @@
 		}
 	case exchange.Broken:
 		if ctx.Err() != nil {
-			e.Ends.Left(a)
+			e.Ends.RecordAbandoned(a)
 			return
 		}
 		e.Ends.RecordBroken(ctx, a, e.upstreams.Refuses)
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -52,7 +52,7 @@
 			tracker.Whole(a)
 		}
 	case retry.CallerGone:
-		tracker.Left(a)
+		tracker.RecordAbandoned(a)
 	case retry.Unreached:
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			tracker.Refused(a.To)
