--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -154,7 +154,7 @@
 	t.init()
 	if refuses != nil && ask(ctx, a.To, refuses) {
 		t.ended(a, signRefused, clock.Now())
-		t.Refused(a.To)
+		t.RecordRefusal(a.To)
 		return
 	}
 	t.mu.Lock()
@@ -185,9 +185,9 @@
 	return append(list, broken{a, clock.Now()})
 }
 
-// Refused takes that an instance's address refuses connections: what broke off or was left there
+// RecordRefusal takes that an instance's address refuses connections: what broke off or was left there
 // lately did so as it ended.
-func (t *Tracker) Refused(in registry.Instance) {
+func (t *Tracker) RecordRefusal(in registry.Instance) {
 	t.init()
 	now := clock.Now()
 	for _, b := range t.refused(in, now) {
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -55,7 +55,7 @@
 		tracker.RecordAbandoned(a)
 	case retry.Unreached:
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			tracker.Refused(a.To)
+			tracker.RecordRefusal(a.To)
 		}
 	case retry.Broken:
 		view := j.server.View()
