--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -211,8 +211,8 @@
 	return out
 }
 
-// Superseded takes the end of an attempt at an incarnation whose id or address another one has.
-func (t *Tracker) Superseded(a Attempt) {
+// RecordSuperseded takes the end of an attempt at an incarnation whose id or address another one has.
+func (t *Tracker) RecordSuperseded(a Attempt) {
 	t.init()
 	t.ended(a, signSuperseded, clock.Now())
 }
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -61,11 +61,11 @@
 		view := j.server.View()
 		switch {
 		case gone:
-			tracker.Superseded(a)
+			tracker.RecordSuperseded(a)
 		case view.Lives(a.To):
 			tracker.RecordBroken(ctx, a, j.asker(err))
 		case view.Superseded()(a.To):
-			tracker.Superseded(a)
+			tracker.RecordSuperseded(a)
 		default:
 			// Its end was planned, or it had fallen silent before.
 		}
