--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -234,9 +234,9 @@
 		Int64("start", int64(a.To.Start)).Str("address", a.To.Address).Str("sign", sign).Dur("sent_age_ms", at.Sub(a.Sent)).Msg("")
 }
 
-// Whole takes a good answer to an attempt. Others are told if an instance ended under the request,
+// RecordSuccess takes a good answer to an attempt. Others are told if an instance ended under the request,
 // or once one does.
-func (t *Tracker) Whole(a Attempt) {
+func (t *Tracker) RecordSuccess(a Attempt) {
 	t.init()
 	now := clock.Now()
 	t.mu.Lock()
--- a/internal/transport/ends/ends_test.go
+++ b/internal/transport/ends/ends_test.go
@@ -103,7 +103,7 @@
 // Who has lately answered a request well tells so when it hears that an instance ended under it.
 func TestPopularRequestIsVouchedFor(t *testing.T) {
 	tracker := newTracker()
-	tracker.Whole(attempt(1, "a"))
+	tracker.RecordSuccess(attempt(1, "a"))
 	now := time.Now()
 	tracker.Take("other", []quarantine.Fact{quarantine.Ended{Digest: digest(1), Of: registry.Incarnation{ID: "b", Start: 1}, Sent: now, At: now}})
 	told := ends.NewTold()
@@ -125,7 +125,7 @@
 		d := quarantine.DigestOf("team", []string{"POST", "host", "/path"}, body)
 		_, _, done := tracker.Begin(d)
 		done()
-		tracker.Whole(ends.Attempt{Digest: d, To: registry.Instance{ID: "i"}})
+		tracker.RecordSuccess(ends.Attempt{Digest: d, To: registry.Instance{ID: "i"}})
 	}
 }
 
@@ -194,7 +194,7 @@
 		case 2:
 			tracker.RecordBroken(context.Background(), a, func(context.Context, registry.Instance) bool { return n%100 == 2 })
 		default:
-			tracker.Whole(a)
+			tracker.RecordSuccess(a)
 		}
 	}
 	used := int64(heap()) - int64(before)
--- a/internal/transport/entry/ends.go
+++ b/internal/transport/entry/ends.go
@@ -59,7 +59,7 @@
 	switch end := end.(type) {
 	case retry.Completed:
 		if end.Status < http.StatusMultipleChoices {
-			e.Ends.Whole(a)
+			e.Ends.RecordSuccess(a)
 		}
 	case retry.CallerGone:
 		e.Ends.RecordAbandoned(a)
@@ -73,7 +73,7 @@
 	switch reply := reply.(type) {
 	case exchange.Whole:
 		if reply.Head.Status < http.StatusMultipleChoices {
-			e.Ends.Whole(a)
+			e.Ends.RecordSuccess(a)
 		}
 	case exchange.Broken:
 		if ctx.Err() != nil {
--- a/internal/transport/fleet/facts_test.go
+++ b/internal/transport/fleet/facts_test.go
@@ -98,7 +98,7 @@
 func TestGoodAnswerClearsEverywhere(t *testing.T) {
 	source := newControl(t)
 	a, b := tracking(t, "a", source), tracking(t, "b", source)
-	b.Whole(ends.Attempt{Request: "r", Digest: deadlyRequest, To: registry.Instance{ID: "i-0"}, Sent: time.Now()})
+	b.RecordSuccess(ends.Attempt{Request: "r", Digest: deadlyRequest, To: registry.Instance{ID: "i-0"}, Sent: time.Now()})
 	see(a, "i-1")
 	wait(t, "the other entry's answer is known", func() bool {
 		_, c, done := a.Begin(deadlyRequest)
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -49,7 +49,7 @@
 	switch end := end.(type) {
 	case retry.Completed:
 		if end.Status < http.StatusMultipleChoices {
-			tracker.Whole(a)
+			tracker.RecordSuccess(a)
 		}
 	case retry.CallerGone:
 		tracker.RecordAbandoned(a)
