--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -248,8 +248,8 @@
 	t.heard(a, now)
 }
 
-// Heard takes a word of the instance of an attempt.
-func (t *Tracker) Heard(a Attempt) {
+// RecordResponse takes a word of the instance of an attempt.
+func (t *Tracker) RecordResponse(a Attempt) {
 	t.init()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/transport/ends/ends_test.go
+++ b/internal/transport/ends/ends_test.go
@@ -90,11 +90,11 @@
 func TestInstanceThatAnswersHadNotEnded(t *testing.T) {
 	tracker := newTracker()
 	tracker.RecordBroken(context.Background(), attempt(1, "a"), refuses)
-	tracker.Heard(attempt(2, "b"))
+	tracker.RecordResponse(attempt(2, "b"))
 	if diff := cmp.Diff(1, endsOf(tracker, 1)); diff != "" {
 		t.Error("another instance's word: " + diff)
 	}
-	tracker.Heard(attempt(2, "a"))
+	tracker.RecordResponse(attempt(2, "a"))
 	if diff := cmp.Diff(0, endsOf(tracker, 1)); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -268,7 +268,7 @@
 // noteHeard notes a word of the instance before its answer has ended.
 func (j *job) noteHeard(reply exchange.Reply, track ends.Attempt, now time.Time) {
 	if answersItself(reply) {
-		j.server.Ends.Heard(track)
+		j.server.Ends.RecordResponse(track)
 	}
 	j.server.mu.Lock()
 	defer j.server.mu.Unlock()
