--- a/internal/transport/ends/ends_test.go
+++ b/internal/transport/ends/ends_test.go
@@ -105,7 +105,7 @@
 	tracker := newTracker()
 	tracker.RecordSuccess(attempt(1, "a"))
 	now := time.Now()
-	tracker.Take("other", []quarantine.Fact{quarantine.Ended{Digest: digest(1), Of: registry.Incarnation{ID: "b", Start: 1}, Sent: now, At: now}})
+	tracker.Merge("other", []quarantine.Fact{quarantine.Ended{Digest: digest(1), Of: registry.Incarnation{ID: "b", Start: 1}, Sent: now, At: now}})
 	told := ends.NewTold()
 	await.Until(t, 20*time.Second, "the answer is told", func() bool {
 		for _, f := range tracker.Untold(told) {
--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -46,8 +46,8 @@
 	return true
 }
 
-// Take joins what others saw. from names who told it.
-func (t *Tracker) Take(from string, facts []quarantine.Fact) {
+// Merge joins what others saw. from names who told it.
+func (t *Tracker) Merge(from string, facts []quarantine.Fact) {
 	if len(facts) == 0 {
 		return
 	}
--- a/internal/transport/ends/lines_test.go
+++ b/internal/transport/ends/lines_test.go
@@ -43,11 +43,11 @@
 	for n := range 250 {
 		facts = append(facts, ended(1000+n))
 	}
-	tracker.Take("c", facts)
+	tracker.Merge("c", facts)
 	if told.all == 0 || told.all > most {
 		t.Errorf("%d lines for %d ends", told.all, len(facts))
 	}
-	tracker.Take("c", []quarantine.Fact{ended(7)})
+	tracker.Merge("c", []quarantine.Fact{ended(7)})
 	if told.naming != 1 {
 		t.Errorf("%d lines name the digest of an end that was told by itself", told.naming)
 	}
--- a/internal/transport/fleet/follower_facts.go
+++ b/internal/transport/fleet/follower_facts.go
@@ -25,7 +25,7 @@
 	}
 	facts := wire.ToFacts(out.Facts, now)
 	s.told.Add(facts)
-	f.Ends.Take(address, facts)
+	f.Ends.Merge(address, facts)
 }
 
 // tellFacts tells sources what they lack until ctx ends.
--- a/internal/transport/peers/facts.go
+++ b/internal/transport/peers/facts.go
@@ -73,7 +73,7 @@
 // hearFacts takes the facts that another entry told.
 func (p *Peers) hearFacts(from string, m *wire.GossipMessage) {
 	if p.Ends != nil {
-		p.Ends.Take(from, wire.ToFacts(m.Facts, clock.Now()))
+		p.Ends.Merge(from, wire.ToFacts(m.Facts, clock.Now()))
 	}
 }
 
