--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -106,8 +106,8 @@
 	return t.changed
 }
 
-// Seen returns how many facts were seen here.
-func (t *Tracker) Seen() uint64 {
+// LocalFacts returns how many facts were seen here.
+func (t *Tracker) LocalFacts() uint64 {
 	t.init()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/transport/peers/facts.go
+++ b/internal/transport/peers/facts.go
@@ -18,7 +18,7 @@
 	seen := uint64(0)
 	for {
 		changed := p.Ends.Changed()
-		now := p.Ends.Seen()
+		now := p.Ends.LocalFacts()
 		p.spreadOnce(now > seen)
 		seen = now
 		select {
