--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -114,8 +114,8 @@
 	return t.seen
 }
 
-// All returns the newest facts, and a digest that is the same for trackers that know of the same.
-func (t *Tracker) All() (facts []quarantine.Fact, digest uint64) {
+// Snapshot returns the newest facts, and a digest that is the same for trackers that know of the same.
+func (t *Tracker) Snapshot() (facts []quarantine.Fact, digest uint64) {
 	t.init()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/transport/peers/facts.go
+++ b/internal/transport/peers/facts.go
@@ -57,7 +57,7 @@
 
 // addFacts adds all facts to a message; it reports whether there are any.
 func (p *Peers) addFacts(message *wire.GossipMessage) bool {
-	facts, digest := p.Ends.All()
+	facts, digest := p.Ends.Snapshot()
 	message.Facts = wire.FromFacts(facts, clock.Now())
 	message.FactsDigest = digest
 	return len(facts) > 0
@@ -66,7 +66,7 @@
 // addDigest adds to a message what tells whether its receiver knows the same.
 func (p *Peers) addDigest(message *wire.GossipMessage) {
 	if p.Ends != nil {
-		_, message.FactsDigest = p.Ends.All()
+		_, message.FactsDigest = p.Ends.Snapshot()
 	}
 }
 
