--- a/internal/transport/ends/ends_test.go
+++ b/internal/transport/ends/ends_test.go
@@ -106,7 +106,7 @@
 	tracker.RecordSuccess(attempt(1, "a"))
 	now := time.Now()
 	tracker.Merge("other", []quarantine.Fact{quarantine.Ended{Digest: digest(1), Of: registry.Incarnation{ID: "b", Start: 1}, Sent: now, At: now}})
-	told := ends.NewTold()
+	told := ends.NewReceiverState()
 	await.Until(t, 20*time.Second, "the answer is told", func() bool {
 		for _, f := range tracker.Unsent(told) {
 			if _, ok := f.(quarantine.Answered); ok {
@@ -151,7 +151,7 @@
 	for n := range 1024 {
 		tracker.RecordBroken(context.Background(), attempt(n, fmt.Sprint(n)), refuses)
 	}
-	told := ends.NewTold()
+	told := ends.NewReceiverState()
 	for len(tracker.Unsent(told)) > 0 {
 		told.Add(tracker.Unsent(told))
 	}
@@ -214,7 +214,7 @@
 	for n := range 1024 {
 		tracker.RecordBroken(context.Background(), attempt(n, fmt.Sprint(n)), refuses)
 	}
-	told := ends.NewTold()
+	told := ends.NewReceiverState()
 	for facts := tracker.Unsent(told); len(facts) > 0; facts = tracker.Unsent(told) {
 		told.Add(facts)
 	}
--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -131,8 +131,8 @@
 	upTo uint64
 }
 
-// NewTold returns what a receiver knows that was told nothing.
-func NewTold() *ReceiverState { return &ReceiverState{when: map[quarantine.Key]time.Time{}} }
+// NewReceiverState returns what a receiver knows that was told nothing.
+func NewReceiverState() *ReceiverState { return &ReceiverState{when: map[quarantine.Key]time.Time{}} }
 
 // Add notes what a receiver knows.
 func (known *ReceiverState) Add(facts []quarantine.Fact) {
@@ -150,7 +150,7 @@
 }
 
 // Clear notes that a receiver knows nothing any more.
-func (known *ReceiverState) Clear() { *known = *NewTold() }
+func (known *ReceiverState) Clear() { *known = *NewReceiverState() }
 
 // lacks reports whether a receiver does not know a fact, or an older one in its place.
 func (known *ReceiverState) lacks(f quarantine.Fact) bool {
--- a/internal/transport/fleet/follower.go
+++ b/internal/transport/fleet/follower.go
@@ -158,7 +158,7 @@
 			continue
 		}
 		watch, cancel := context.WithCancel(ctx)
-		f.sources[address] = &knownSource{cancel: cancel, answered: clock.Now(), told: ends.NewTold()}
+		f.sources[address] = &knownSource{cancel: cancel, answered: clock.Now(), told: ends.NewReceiverState()}
 		go f.watch(watch, address)
 	}
 	for address, s := range f.sources {
