--- a/internal/transport/ends/ends_test.go
+++ b/internal/transport/ends/ends_test.go
@@ -153,7 +153,7 @@
 	}
 	told := ends.NewReceiverState()
 	for len(tracker.Unsent(told)) > 0 {
-		told.Add(tracker.Unsent(told))
+		told.MarkKnown(tracker.Unsent(told))
 	}
 	for b.Loop() {
 		tracker.Unsent(told)
@@ -216,7 +216,7 @@
 	}
 	told := ends.NewReceiverState()
 	for facts := tracker.Unsent(told); len(facts) > 0; facts = tracker.Unsent(told) {
-		told.Add(facts)
+		told.MarkKnown(facts)
 	}
 	began := time.Now()
 	for range looks {
--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -134,8 +134,8 @@
 // NewReceiverState returns what a receiver knows that was told nothing.
 func NewReceiverState() *ReceiverState { return &ReceiverState{when: map[quarantine.Key]time.Time{}} }
 
-// Add notes what a receiver knows.
-func (known *ReceiverState) Add(facts []quarantine.Fact) {
+// MarkKnown notes what a receiver knows.
+func (known *ReceiverState) MarkKnown(facts []quarantine.Fact) {
 	for _, f := range facts {
 		known.when[f.Key()] = f.When()
 	}
--- a/internal/transport/fleet/follower_facts.go
+++ b/internal/transport/fleet/follower_facts.go
@@ -24,7 +24,7 @@
 		return
 	}
 	facts := wire.ToFacts(out.Facts, now)
-	s.told.Add(facts)
+	s.told.MarkKnown(facts)
 	f.Ends.Merge(address, facts)
 }
 
@@ -61,7 +61,7 @@
 		facts := f.Ends.Unsent(s.told)
 		if len(facts) > 0 {
 			s.tellingFacts = true
-			s.told.Add(facts)
+			s.told.MarkKnown(facts)
 			out[address] = facts
 		}
 	}
