--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// Remove notes what a receiver does not know after all.
-func (known *ReceiverState) Remove(facts []quarantine.Fact) {
+// MarkUnknown notes what a receiver does not know after all.
+func (known *ReceiverState) MarkUnknown(facts []quarantine.Fact) {
 	for _, f := range facts {
 		delete(known.when, f.Key())
 	}
--- a/internal/transport/fleet/follower_facts.go
+++ b/internal/transport/fleet/follower_facts.go
@@ -84,7 +84,7 @@
 		return
 	}
 	if s != nil {
-		s.told.Remove(facts)
+		s.told.MarkUnknown(facts)
 	}
 	f.Log.Info().Str("event", "facts_not_told").Str("address", address).Int("facts", len(facts)).Str("error", err.Error()).Msg("")
 }
