--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -149,8 +149,8 @@
 	known.upTo = 0
 }
 
-// Clear notes that a receiver knows nothing any more.
-func (known *ReceiverState) Clear() { *known = *NewReceiverState() }
+// Reset notes that a receiver knows nothing any more.
+func (known *ReceiverState) Reset() { *known = *NewReceiverState() }
 
 // lacks reports whether a receiver does not know a fact, or an older one in its place.
 func (known *ReceiverState) lacks(f quarantine.Fact) bool {
--- a/internal/transport/fleet/watch.go
+++ b/internal/transport/fleet/watch.go
@@ -151,7 +151,7 @@
 		f.merged.Restart(address)
 		s.restarted = true
 		s.stores = storesKnown{}
-		s.told.Clear()
+		s.told.Reset()
 	}
 	caughtUp := s.backlog > 0 && out.Backlog == 0
 	if s.take(out, now) {
