--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -145,12 +145,12 @@
 	}
 }
 
-// Refuses reports whether an instance's address refuses connections.
-type Refuses func(ctx context.Context, in registry.Instance) bool
+// RefusalProbe reports whether an instance's address refuses connections.
+type RefusalProbe func(ctx context.Context, in registry.Instance) bool
 
 // RecordBroken takes the end of an attempt whose answer was not whole, though this side did not end it.
 // refuses is nil where its connection did not close, so that there is nothing to ask.
-func (t *Tracker) RecordBroken(ctx context.Context, a Attempt, refuses Refuses) {
+func (t *Tracker) RecordBroken(ctx context.Context, a Attempt, refuses RefusalProbe) {
 	t.init()
 	if refuses != nil && ask(ctx, a.To, refuses) {
 		t.ended(a, signRefused, clock.Now())
@@ -162,7 +162,7 @@
 	t.breaks = undecided(t.breaks, a)
 }
 
-func ask(ctx context.Context, in registry.Instance, refuses Refuses) bool {
+func ask(ctx context.Context, in registry.Instance, refuses RefusalProbe) bool {
 	ctx, cancel := context.WithTimeout(ctx, refusesTime)
 	defer cancel()
 	return refuses(ctx, in)
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -74,7 +74,7 @@
 
 // asker returns what asks whether an instance refuses connections, if an attempt ended because
 // its connection closed.
-func (j *job) asker(err error) ends.Refuses {
+func (j *job) asker(err error) ends.RefusalProbe {
 	if !closed(err) {
 		return nil
 	}
