--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -74,7 +74,7 @@
 	client   *controlclient.Client
 	follower *fleet.Follower
 	keeper   *keeping.Keeper
-	loads    *loads.Watcher
+	loads    *loads.Poller
 	requirer *orders.Requirer
 	// calls and metrics serve a listener each; replicas reach one another by the replica's.
 	calls, metrics *http.Server
@@ -112,7 +112,7 @@
 		keeper: &keeping.Keeper{
 			View: follower.View, Leading: replica.Leading, Confirm: replica.Confirm, Source: source, Stores: platform.NewStoreClient(), Log: logger,
 		},
-		loads: &loads.Watcher{View: follower.View, Leading: replica.Leading, Engines: engines, Source: source, Log: logger},
+		loads: &loads.Poller{View: follower.View, Leading: replica.Leading, Engines: engines, Source: source, Log: logger},
 		requirer: &orders.Requirer{
 			View: follower.View, Leading: replica.Leading, Require: replica.RequireWeights, OldWeights: s.OldWeights(), Log: logger,
 		},
--- a/internal/transport/loads/loads.go
+++ b/internal/transport/loads/loads.go
@@ -51,8 +51,8 @@
 	Usage(ctx context.Context, in registry.Instance) (balance.EngineLoad, error)
 }
 
-// Watcher asks the engines. Set the exported fields, then Run.
-type Watcher struct {
+// Poller asks the engines. Set the exported fields, then Run.
+type Poller struct {
 	// View returns what is known of the fleet.
 	View func() *fleet.View
 	// Leading says whether this replica leads.
@@ -72,7 +72,7 @@
 }
 
 // Run asks until ctx ends.
-func (w *Watcher) Run(ctx context.Context) {
+func (w *Poller) Run(ctx context.Context) {
 	defer w.probes.Wait()
 	for ctx.Err() == nil {
 		began := clock.Now()
@@ -106,7 +106,7 @@
 
 // ask asks all engines; those that do not answer are left out, as nothing is known of them. Those
 // that did not answer before are asked now and then, and not waited for.
-func (w *Watcher) ask(ctx context.Context, engines []registry.Instance) map[registry.Incarnation]balance.EngineLoad {
+func (w *Poller) ask(ctx context.Context, engines []registry.Instance) map[registry.Incarnation]balance.EngineLoad {
 	sound, lost := w.part(engines, clock.Now())
 	for _, in := range lost {
 		// What it answers is noted; the next turn asks it with the others.
@@ -136,7 +136,7 @@
 }
 
 // usage asks one engine, and notes whether it answers.
-func (w *Watcher) usage(ctx context.Context, in registry.Instance) (balance.EngineLoad, error) {
+func (w *Poller) usage(ctx context.Context, in registry.Instance) (balance.EngineLoad, error) {
 	load, err := w.Engines.Usage(ctx, in)
 	var again *registry.StartedAgainError
 	if errors.As(err, &again) {
@@ -150,7 +150,7 @@
 
 // part parts the engines that answer from those that did not and are to be asked again, and
 // forgets those that are gone.
-func (w *Watcher) part(engines []registry.Instance, now time.Time) (sound, again []registry.Instance) {
+func (w *Poller) part(engines []registry.Instance, now time.Time) (sound, again []registry.Instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	lost := make(map[registry.Incarnation]time.Time, len(w.lost))
@@ -171,7 +171,7 @@
 }
 
 // note logs when an engine's answers are lost and found; mu must be held.
-func (w *Watcher) note(in registry.Instance, err error) {
+func (w *Poller) note(in registry.Instance, err error) {
 	if w.lost == nil {
 		w.lost = map[registry.Incarnation]time.Time{}
 	}
--- a/internal/transport/loads/loads_test.go
+++ b/internal/transport/loads/loads_test.go
@@ -76,7 +76,7 @@
 		source := fleet.NewSource(ctx, time.Second, quiet)
 		e := &engines{loads: map[string]balance.EngineLoad{"a": {Waiting: 3, Used: 60_000}, "b": {}}}
 		var leads atomic.Bool
-		w := &loads.Watcher{
+		w := &loads.Poller{
 			View: func() *fleet.View { return viewOf("a", "b", "silent") }, Leading: func() (uint64, bool) { return 1, leads.Load() },
 			Engines: e, Source: source, Log: quiet,
 		}
@@ -129,7 +129,7 @@
 		var fell atomic.Bool
 		e.dark = func(id string) bool { return fell.Load() && dark[id] }
 		view := viewOf(ids...)
-		w := &loads.Watcher{
+		w := &loads.Poller{
 			View: func() *fleet.View { return view }, Leading: func() (uint64, bool) { return 1, true },
 			Engines: e, Source: fleet.NewSource(ctx, time.Second, quiet), Log: quiet,
 		}
@@ -175,7 +175,7 @@
 		}
 		e := &engines{}
 		view := viewOf(ids...)
-		w := &loads.Watcher{
+		w := &loads.Poller{
 			View: func() *fleet.View { return view }, Leading: func() (uint64, bool) { return 1, true },
 			Engines: e, Source: fleet.NewSource(ctx, time.Second, quiet), Log: quiet,
 		}
