--- a/internal/transport/orders/orders.go
+++ b/internal/transport/orders/orders.go
@@ -32,8 +32,8 @@
 type Orderer struct {
 	// Leading says whether this replica leads now, and in which term.
 	Leading func() (term uint64, ok bool)
-	// TakeToken commits a new fencing token.
-	TakeToken func(context.Context) (uint64, error)
+	// CommitToken commits a new fencing token.
+	CommitToken func(context.Context) (uint64, error)
 	// Confirm returns nil once a majority has answered after the call that this replica
 	// still leads: one that was frozen believes it for a while.
 	Confirm func(context.Context) error
@@ -122,7 +122,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	token, err := o.TakeToken(ctx)
+	token, err := o.CommitToken(ctx)
 	if err != nil {
 		return false
 	}
