--- a/internal/transport/orders/orders.go
+++ b/internal/transport/orders/orders.go
@@ -34,9 +34,9 @@
 	Leading func() (term uint64, ok bool)
 	// CommitToken commits a new fencing token.
 	CommitToken func(context.Context) (uint64, error)
-	// Confirm returns nil once a majority has answered after the call that this replica
+	// ConfirmLeadership returns nil once a majority has answered after the call that this replica
 	// still leads: one that was frozen believes it for a while.
-	Confirm func(context.Context) error
+	ConfirmLeadership func(context.Context) error
 	// Fleet is what orders are given to.
 	Fleet Fleet
 	// WaitOut and Interval have defaults when zero.
@@ -93,7 +93,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := o.Confirm(ctx)
+	err := o.ConfirmLeadership(ctx)
 	if err != nil {
 		o.Log.Info().Str("event", "order_withheld").Uint64("term", term).Str("error", err.Error()).Msg("")
 		return false
--- a/internal/transport/orders/registered_test.go
+++ b/internal/transport/orders/registered_test.go
@@ -136,7 +136,7 @@
 	}
 	return &orders.Orderer{
 		Leading: func() (uint64, bool) { return 1, true }, CommitToken: func(context.Context) (uint64, error) { return 1, nil },
-		Confirm: func(context.Context) error { return nil }, WaitOut: time.Millisecond, Interval: 20 * time.Millisecond, Log: quiet,
+		ConfirmLeadership: func(context.Context) error { return nil }, WaitOut: time.Millisecond, Interval: 20 * time.Millisecond, Log: quiet,
 		Fleet: &orders.RegisteredEngines{View: func() *fleet.View { return view }, Engines: e, Holder: "h", Source: source, Log: quiet},
 	}, source
 }
@@ -298,7 +298,7 @@
 	var asked sync.WaitGroup
 	asked.Add(3)
 	n := 0
-	o.Confirm = func(context.Context) error {
+	o.ConfirmLeadership = func(context.Context) error {
 		if n++; n <= 3 {
 			asked.Done()
 		}
