--- a/internal/transport/orders/orders.go
+++ b/internal/transport/orders/orders.go
@@ -39,8 +39,8 @@
 	ConfirmLeadership func(context.Context) error
 	// Fleet is what orders are given to.
 	Fleet Fleet
-	// WaitOut and Interval have defaults when zero.
-	WaitOut  time.Duration
+	// PredecessorTimeout and Interval have defaults when zero.
+	PredecessorTimeout  time.Duration
 	Interval time.Duration
 	// Log receives one line for each event.
 	Log *log.Logger
@@ -52,8 +52,8 @@
 
 // Run gives orders until ctx ends.
 func (o *Orderer) Run(ctx context.Context) {
-	if o.WaitOut == 0 {
-		o.WaitOut = DefaultWaitOut
+	if o.PredecessorTimeout == 0 {
+		o.PredecessorTimeout = DefaultWaitOut
 	}
 	if o.Interval == 0 {
 		o.Interval = DefaultInterval
@@ -76,7 +76,7 @@
 		return
 	}
 	instances := o.Fleet.Read(ctx)
-	by := rollout.Orderer{Token: o.token, Unchecked: clock.Since(o.since) >= o.WaitOut}
+	by := rollout.Orderer{Token: o.token, Unchecked: clock.Since(o.since) >= o.PredecessorTimeout}
 	for _, order := range rollout.Plan(instances, o.Fleet.Target, by) {
 		if !o.stillLeads(ctx) {
 			return
--- a/internal/transport/orders/registered_test.go
+++ b/internal/transport/orders/registered_test.go
@@ -136,7 +136,7 @@
 	}
 	return &orders.Orderer{
 		Leading: func() (uint64, bool) { return 1, true }, CommitToken: func(context.Context) (uint64, error) { return 1, nil },
-		ConfirmLeadership: func(context.Context) error { return nil }, WaitOut: time.Millisecond, Interval: 20 * time.Millisecond, Log: quiet,
+		ConfirmLeadership: func(context.Context) error { return nil }, PredecessorTimeout: time.Millisecond, Interval: 20 * time.Millisecond, Log: quiet,
 		Fleet: &orders.RegisteredEngines{View: func() *fleet.View { return view }, Engines: e, Holder: "h", Source: source, Log: quiet},
 	}, source
 }
