--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -101,7 +101,7 @@
 		Folder: folder, Restart: restart, Ledger: ledger, Listener: peers, Log: logger,
 		Heal:   &membership.Policy{Voters: 2*int(s.Losses) + 1, DeadTicks: deadTicks(s)},
 		Source: source, WaitOut: s.Lease() + leaseMargin, OrderInterval: orderInterval,
-		Fleet: &orders.RegisteredEngines{View: follower.View, Engines: engines, Holder: s.Name, Source: source, OldWeights: s.OldWeights(), Log: logger},
+		Fleet: &orders.RegisteredEngines{View: follower.View, Engines: engines, Holder: s.Name, Source: source, OldWeightsGrace: s.OldWeights(), Log: logger},
 	}
 	if s.FirstStart {
 		replica.Peers = founders(s)
--- a/internal/transport/orders/registered.go
+++ b/internal/transport/orders/registered.go
@@ -41,9 +41,9 @@
 	Holder string
 	// Source tells entries which engines load, or will next, and what they have loaded.
 	Source *fleet.Source
-	// OldWeights is how long after newer weights are named engines may still serve by older ones;
+	// OldWeightsGrace is how long after newer weights are named engines may still serve by older ones;
 	// 0 is without an end.
-	OldWeights time.Duration
+	OldWeightsGrace time.Duration
 	// Log receives one line for each event.
 	Log *log.Logger
 
@@ -68,7 +68,7 @@
 	e.mu.Unlock()
 	target := rollout.Target{Version: text(version), ConcurrentLoads: loadsAtOnce(n), MinServing: n / 2}
 	now := clock.Now()
-	if view.Named[model].Required(now, view.OldWeights(e.OldWeights, now)) >= version {
+	if view.Named[model].Required(now, view.OldWeights(e.OldWeightsGrace, now)) >= version {
 		// Those with older weights serve nobody any more.
 		target.MinServing = 0
 	}
