--- a/internal/transport/orders/registered_test.go
+++ b/internal/transport/orders/registered_test.go
@@ -263,7 +263,7 @@
 			history = history.Require(version)
 			return nil
 		},
-		OldWeights: 6 * time.Second, Log: quiet,
+		OldWeightsGrace: 6 * time.Second, Log: quiet,
 	}
 	synctest.Test(t, func(t *testing.T) {
 		// The time of a bubble is Go's.
--- a/internal/transport/orders/requirer.go
+++ b/internal/transport/orders/requirer.go
@@ -28,15 +28,15 @@
 	Leading func() (term uint64, ok bool)
 	// Require commits a mark.
 	Require func(ctx context.Context, model string, version uint64) error
-	// OldWeights is how long requests may begin on old weights; 0 is without an end.
-	OldWeights time.Duration
+	// OldWeightsGrace is how long requests may begin on old weights; 0 is without an end.
+	OldWeightsGrace time.Duration
 	// Log receives one line for each event.
 	Log *log.Logger
 }
 
 // Run looks until ctx ends.
 func (r *Requirer) Run(ctx context.Context) {
-	if r.OldWeights == 0 {
+	if r.OldWeightsGrace == 0 {
 		return
 	}
 	ticker := time.NewTicker(requireInterval)
@@ -57,7 +57,7 @@
 		return
 	}
 	view, now := r.View(), clock.Now()
-	allowance := view.OldWeights(r.OldWeights, now)
+	allowance := view.OldWeights(r.OldWeightsGrace, now)
 	for model, h := range view.Named {
 		version := h.Required(now, allowance)
 		if version <= h.Due() {
