--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -114,7 +114,7 @@
 		},
 		loads: &loads.Poller{View: follower.View, Leading: replica.Leading, Engines: engines, Source: source, Log: logger},
 		requirer: &orders.Requirer{
-			View: follower.View, Leading: replica.Leading, Require: replica.RequireWeights, OldWeightsGrace: s.OldWeights(), Log: logger,
+			View: follower.View, Leading: replica.Leading, CommitRequired: replica.RequireWeights, OldWeightsGrace: s.OldWeights(), Log: logger,
 		},
 		calls: &http.Server{
 			Handler:           calls.Count(platform.Control{Control: client, Source: source, Domains: func() []string { return file.Current().FailureDomains }, OnReportRefused: calls.Refused, Log: logger}.Handler()),
--- a/internal/transport/orders/registered_test.go
+++ b/internal/transport/orders/registered_test.go
@@ -253,7 +253,7 @@
 			return &fleet.View{Named: map[string]weights.History{"m": history}}
 		},
 		Leading: func() (uint64, bool) { mu.Lock(); defer mu.Unlock(); return 1, leads },
-		Require: func(_ context.Context, _ string, version uint64) error {
+		CommitRequired: func(_ context.Context, _ string, version uint64) error {
 			mu.Lock()
 			defer mu.Unlock()
 			marks = append(marks, version)
--- a/internal/transport/orders/requirer.go
+++ b/internal/transport/orders/requirer.go
@@ -26,8 +26,8 @@
 	View func() *fleet.View
 	// Leading says whether this replica leads.
 	Leading func() (term uint64, ok bool)
-	// Require commits a mark.
-	Require func(ctx context.Context, model string, version uint64) error
+	// CommitRequired commits a mark.
+	CommitRequired func(ctx context.Context, model string, version uint64) error
 	// OldWeightsGrace is how long requests may begin on old weights; 0 is without an end.
 	OldWeightsGrace time.Duration
 	// Log receives one line for each event.
@@ -64,7 +64,7 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, requireTimeout)
-		err := r.Require(ctx, model, version)
+		err := r.CommitRequired(ctx, model, version)
 		cancel()
 		line := r.Log.Info().Str("event", "weights_due").Str("model", model).Uint64("version", version)
 		if err != nil {
