--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -73,7 +73,7 @@
 	replica  *control.Replica
 	client   *controlclient.Client
 	follower *fleet.Follower
-	keeper   *keeping.Keeper
+	keeper   *keeping.StoreWatcher
 	loads    *loads.Poller
 	requirer *orders.Requirer
 	// calls and metrics serve a listener each; replicas reach one another by the replica's.
@@ -109,7 +109,7 @@
 	calls := callmetrics.New(func() callmetrics.Standing { return standing(replica, follower) })
 	return &platformControl{
 		replica: replica, client: client, follower: follower, log: logger,
-		keeper: &keeping.Keeper{
+		keeper: &keeping.StoreWatcher{
 			View: follower.View, Leading: replica.Leading, Confirm: replica.Confirm, Source: source, Stores: platform.NewStoreClient(), Log: logger,
 		},
 		loads: &loads.Poller{View: follower.View, Leading: replica.Leading, Engines: engines, Source: source, Log: logger},
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -43,8 +43,8 @@
 	Free(ctx context.Context, address string, epoch uint64, until time.Duration, parts []keeping.Part) error
 }
 
-// Keeper watches the stores. Set the exported fields, then Run.
-type Keeper struct {
+// StoreWatcher watches the stores. Set the exported fields, then Run.
+type StoreWatcher struct {
 	// View returns what is known of the fleet.
 	View func() *fleet.View
 	// Leading says whether this replica leads, and in which term; Confirm returns nil once
@@ -59,7 +59,7 @@
 }
 
 // Run watches until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *StoreWatcher) Run(ctx context.Context) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	watched := map[string]context.CancelFunc{}
@@ -76,7 +76,7 @@
 }
 
 // rewatch starts and ends watches as the configuration and the leader change.
-func (k *Keeper) rewatch(ctx context.Context, watched map[string]context.CancelFunc, group *sync.WaitGroup) {
+func (k *StoreWatcher) rewatch(ctx context.Context, watched map[string]context.CancelFunc, group *sync.WaitGroup) {
 	wanted := map[string]deployment.Service{}
 	if config := k.View().Config; config != nil {
 		for _, s := range config.Services {
@@ -103,7 +103,7 @@
 }
 
 // watch follows one store, with a new book in each term.
-func (k *Keeper) watch(ctx context.Context, store deployment.Store) {
+func (k *StoreWatcher) watch(ctx context.Context, store deployment.Store) {
 	for ctx.Err() == nil {
 		term, ok := k.Leading()
 		if ok {
@@ -114,7 +114,7 @@
 	}
 }
 
-func (k *Keeper) newBook(store deployment.Store) *keeping.Book {
+func (k *StoreWatcher) newBook(store deployment.Store) *keeping.Book {
 	return &keeping.Book{
 		Room: store.MemoryTokens, Newest: func(model string) uint64 { return k.View().Weights[model] },
 		OpenEpoch: k.View().Stores[store.Address].OpenEpoch,
@@ -123,7 +123,7 @@
 
 // watch is one store in one term of leadership.
 type watch struct {
-	keeper *Keeper
+	keeper *StoreWatcher
 	store  deployment.Store
 	term   uint64
 	book   *keeping.Book
