--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -110,7 +110,7 @@
 	return &platformControl{
 		replica: replica, client: client, follower: follower, log: logger,
 		keeper: &keeping.StoreWatcher{
-			View: follower.View, Leading: replica.Leading, Confirm: replica.Confirm, Source: source, Stores: platform.NewStoreClient(), Log: logger,
+			View: follower.View, Leading: replica.Leading, ConfirmLeadership: replica.Confirm, Source: source, Stores: platform.NewStoreClient(), Log: logger,
 		},
 		loads: &loads.Poller{View: follower.View, Leading: replica.Leading, Engines: engines, Source: source, Log: logger},
 		requirer: &orders.Requirer{
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -50,7 +50,7 @@
 	// Leading says whether this replica leads, and in which term; Confirm returns nil once
 	// a majority has answered that it still does.
 	Leading func() (term uint64, ok bool)
-	Confirm func(context.Context) error
+	ConfirmLeadership func(context.Context) error
 	// Source tells entries.
 	Source *fleet.Source
 	Stores Stores
@@ -176,7 +176,7 @@
 		w.book.List(epoch, next, held, batch.Clock)
 		w.listed = clock.Now()
 	}
-	err = w.keeper.Confirm(ctx)
+	err = w.keeper.ConfirmLeadership(ctx)
 	if err != nil {
 		return err
 	}
