--- a/internal/cli/platform_entry.go
+++ b/internal/cli/platform_entry.go
@@ -73,9 +73,9 @@
 		Decode: platform.DecodeConfig, Heartbeat: s.Heartbeat(), Log: logger,
 	}
 	tracker := &ends.Tracker{
-		Entries:    func() int { return follower.View().Entries },
+		Entries:         func() int { return follower.View().Entries },
 		SupersededCheck: func() func(registry.Instance) bool { return follower.View().Superseded() },
-		Metrics:    ends.NewMetrics(), Log: logger,
+		Metrics:         ends.NewMetrics(), Log: logger,
 	}
 	follower.Ends = tracker
 	upstreams := &platform.UpstreamClient{}
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -49,7 +49,7 @@
 	View func() *fleet.View
 	// Leading says whether this replica leads, and in which term; Confirm returns nil once
 	// a majority has answered that it still does.
-	Leading func() (term uint64, ok bool)
+	Leading           func() (term uint64, ok bool)
 	ConfirmLeadership func(context.Context) error
 	// Source tells entries.
 	Source *fleet.Source
--- a/internal/transport/orders/orders.go
+++ b/internal/transport/orders/orders.go
@@ -40,8 +40,8 @@
 	// Fleet is what orders are given to.
 	Fleet Fleet
 	// PredecessorTimeout and Interval have defaults when zero.
-	PredecessorTimeout  time.Duration
-	Interval time.Duration
+	PredecessorTimeout time.Duration
+	Interval           time.Duration
 	// Log receives one line for each event.
 	Log *log.Logger
 
