--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -132,7 +132,7 @@
 		debug.SetGCPercent(entryGCPercent)
 	}
 	f := feed.New()
-	e.Confirmed = func() bool { return !f.Unconfirmed() }
+	e.ControlReachable = func() bool { return !f.Unconfirmed() }
 	err := e.Init()
 	if err != nil {
 		return err
--- a/internal/transport/entry/entry.go
+++ b/internal/transport/entry/entry.go
@@ -67,8 +67,8 @@
 	// Instances, when not empty, is the URL of the platform's list of live and leaving
 	// instances.
 	Instances string
-	// Confirmed, when set, says whether the control log is within reach.
-	Confirmed func() bool
+	// ControlReachable, when set, says whether the control log is within reach.
+	ControlReachable func() bool
 	// Peers, when set, joins this entry with others; somebody else runs it, with
 	// this entry's Find and Apply.
 	Peers *peers.Peers
@@ -306,7 +306,7 @@
 		Name:          e.Name,
 		FailureDomain: e.FailureDomain,
 		Revision:      e.state.Load().Revision(),
-		Unconfirmed:   e.Confirmed != nil && !e.Confirmed(),
+		Unconfirmed:   e.ControlReachable != nil && !e.ControlReachable(),
 	}
 }
 
