--- a/internal/system/once_test.go
+++ b/internal/system/once_test.go
@@ -95,7 +95,7 @@
 	}
 	req.Header.Set("Authorization", "Bearer demo-key")
 	if key != "" {
-		req.Header.Set(entry.HeaderKey, key)
+		req.Header.Set(entry.HeaderIdempotencyKey, key)
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/internal/transport/entry/answer.go
+++ b/internal/transport/entry/answer.go
@@ -22,8 +22,8 @@
 	HeaderClass = "X-Shedrock-Class"
 	// HeaderDeadline says after how many milliseconds a first token is of no use.
 	HeaderDeadline = "X-Shedrock-Deadline-Ms"
-	// HeaderKey names a call that may not be repeated.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey names a call that may not be repeated.
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 // problem is an answer that refuses a request before it is admitted.
--- a/internal/transport/entry/once.go
+++ b/internal/transport/entry/once.go
@@ -108,11 +108,11 @@
 	record := reserved.Record
 	switch {
 	case reserved.Result == wire.ReserveResponse_OTHER_BODY:
-		refuse(w, problem{status: http.StatusUnprocessableEntity, kind: kindInvalid, code: "key_reused", message: "The " + HeaderKey + " was used for another request.", param: HeaderKey})
+		refuse(w, problem{status: http.StatusUnprocessableEntity, kind: kindInvalid, code: "key_reused", message: "The " + HeaderIdempotencyKey + " was used for another request.", param: HeaderIdempotencyKey})
 	case reserved.Result == wire.ReserveResponse_EXPIRED:
 		// It did not run now, but "not run" would promise more than that.
 		w.Header().Set(HeaderOutcome, outcome.Label(outcome.Unknown{}))
-		writeError(w, problem{status: http.StatusGone, kind: kindInvalid, code: "key_expired", message: "The " + HeaderKey + " is too old, or from the future: it was not run now, and may have run before.", param: HeaderKey})
+		writeError(w, problem{status: http.StatusGone, kind: kindInvalid, code: "key_expired", message: "The " + HeaderIdempotencyKey + " is too old, or from the future: it was not run now, and may have run before.", param: HeaderIdempotencyKey})
 	case reserved.Result == wire.ReserveResponse_FULL:
 		e.concludeCall(w, c, result{outcome: outcome.NotRun{Reason: outcome.ReasonRecordsFull, RetryAfter: time.Minute}})
 	case record.GetPhase() == wire.Record_FINISHED && record.AnswerKept:
--- a/internal/transport/entry/path_test.go
+++ b/internal/transport/entry/path_test.go
@@ -91,7 +91,7 @@
 		{"too large", "POST", "/v1/chat/completions", chat(strings.Repeat("x", 5000), false, 1), nil, refusal{413, "body_too_large", "", "not run", ""}},
 		{"class", "POST", "/v1/chat/completions", valid, []string{entry.HeaderClass, "urgent"}, refusal{400, "invalid_class", entry.HeaderClass, "not run", ""}},
 		{"deadline", "POST", "/v1/chat/completions", valid, []string{entry.HeaderDeadline, "soon"}, refusal{400, "invalid_deadline", entry.HeaderDeadline, "not run", ""}},
-		{"no idempotency key", "POST", "/v1/services/orders/quotes", "x", nil, refusal{400, "missing_idempotency_key", entry.HeaderKey, "not run", ""}},
+		{"no idempotency key", "POST", "/v1/services/orders/quotes", "x", nil, refusal{400, "missing_idempotency_key", entry.HeaderIdempotencyKey, "not run", ""}},
 		{"unknown service", "POST", "/v1/services/payments/quotes", "x", nil, refusal{404, "service_not_found", "", "not run", ""}},
 		{"unknown path", "GET", "/v2", "", nil, refusal{404, "unknown_path", "", "not run", ""}},
 		{"forged cursor", "GET", entry.PathStreams, "", []string{"Last-Event-ID", "AAAA"}, refusal{404, "stream_not_found", "Last-Event-ID", "not run", ""}},
--- a/internal/transport/entry/rests_test.go
+++ b/internal/transport/entry/rests_test.go
@@ -52,7 +52,7 @@
 	before := []int64{prompts.asked.Load(), calls.asked.Load()}
 	for kind, a := range map[string]answer{
 		"a prompt": prompt(), "a call that may be repeated": e.send(t, "GET", "/v1/services/orders/x", ""),
-		"a call that runs once": e.send(t, "POST", "/v1/services/orders/x", "q", entry.HeaderKey, "k"),
+		"a call that runs once": e.send(t, "POST", "/v1/services/orders/x", "q", entry.HeaderIdempotencyKey, "k"),
 	} {
 		after, err := strconv.Atoi(a.header.Get("Retry-After"))
 		if err != nil || after < 20 || after > 31 {
--- a/internal/transport/entry/services.go
+++ b/internal/transport/entry/services.go
@@ -45,10 +45,10 @@
 		e.callRepeatable(w, r, c, call)
 		return
 	}
-	key := r.Header.Get(HeaderKey)
+	key := r.Header.Get(HeaderIdempotencyKey)
 	if key == "" || len(key) > maxKeyBytes {
-		message := fmt.Sprintf("%s %s may not be repeated: an %s of 1 to %d bytes is needed.", r.Method, call.request.Path, HeaderKey, maxKeyBytes)
-		refuse(w, problem{status: http.StatusBadRequest, kind: kindInvalid, code: "missing_idempotency_key", message: message, param: HeaderKey})
+		message := fmt.Sprintf("%s %s may not be repeated: an %s of 1 to %d bytes is needed.", r.Method, call.request.Path, HeaderIdempotencyKey, maxKeyBytes)
+		refuse(w, problem{status: http.StatusBadRequest, kind: kindInvalid, code: "missing_idempotency_key", message: message, param: HeaderIdempotencyKey})
 		return
 	}
 	e.callOnce(w, r, c, call, key)
@@ -61,7 +61,7 @@
 		ID: c.request, Method: r.Method, Path: "/" + r.PathValue("path"), Body: body, Header: http.Header{}, Arrived: c.flow.arrived,
 	}
 	out.Target = (&url.URL{Path: out.Path, RawQuery: r.URL.RawQuery}).RequestURI()
-	for _, name := range []string{"Content-Type", "Accept", HeaderKey} {
+	for _, name := range []string{"Content-Type", "Accept", HeaderIdempotencyKey} {
 		if v := r.Header.Get(name); v != "" {
 			out.Header.Set(name, v)
 		}
--- a/internal/transport/entry/traps_test.go
+++ b/internal/transport/entry/traps_test.go
@@ -71,11 +71,11 @@
 	s.docs["services"] = "services:\n  - {name: orders, instances: [\"" + address + "\"], not_repeatable: [\"POST *\"]}\n"
 	s.declare()
 	e := s.start()
-	first := e.send(t, "POST", "/v1/services/orders/quotes", "q1", entry.HeaderKey, "k1")
+	first := e.send(t, "POST", "/v1/services/orders/quotes", "q1", entry.HeaderIdempotencyKey, "k1")
 	if first.status != http.StatusOK {
 		t.Fatalf("first: %+v", first)
 	}
-	second := e.send(t, "POST", "/v1/services/orders/quotes", "q2", entry.HeaderKey, "k2")
+	second := e.send(t, "POST", "/v1/services/orders/quotes", "q2", entry.HeaderIdempotencyKey, "k2")
 	if n := calls.Load(); n != 2 {
 		t.Fatalf("the service saw %d calls, not 2", n)
 	}
@@ -91,7 +91,7 @@
 	s.declare()
 	e := s.start()
 	s.service.Faults.Set(fault.Settings{Redirect: "http://" + target + "/quotes"})
-	a := e.send(t, "POST", "/v1/services/orders/quotes", "q1", entry.HeaderKey, "k1")
+	a := e.send(t, "POST", "/v1/services/orders/quotes", "q1", entry.HeaderIdempotencyKey, "k1")
 	if reached.Load() != 0 || a.header.Get(entry.HeaderOutcome) != "unknown" {
 		t.Fatalf("reached %d, answer %+v", reached.Load(), a)
 	}
@@ -123,13 +123,13 @@
 	s.declare()
 	e := s.start()
 	s.service.Faults.Set(fault.Settings{Crossed: true})
-	a := e.send(t, "POST", "/v1/services/orders/quotes", "q1", entry.HeaderKey, "k1")
+	a := e.send(t, "POST", "/v1/services/orders/quotes", "q1", entry.HeaderIdempotencyKey, "k1")
 	if a.header.Get(entry.HeaderOutcome) != "unknown" {
 		t.Fatalf("answer %+v", a)
 	}
 	s.service.Faults.Set(fault.Settings{})
 	eventually(t, "the record says unknown", func() bool {
-		a = e.send(t, "POST", "/v1/services/orders/quotes", "q1", entry.HeaderKey, "k1")
+		a = e.send(t, "POST", "/v1/services/orders/quotes", "q1", entry.HeaderIdempotencyKey, "k1")
 		return a.header.Get(entry.HeaderOutcome) == "unknown" && a.status == http.StatusBadGateway
 	})
 	if n := s.service.Count("POST /quotes q1"); n != 1 {
