--- a/internal/transport/entry/answer.go
+++ b/internal/transport/entry/answer.go
@@ -16,8 +16,8 @@
 	HeaderOutcome = "X-Shedrock-Outcome"
 	// HeaderReason gives the typed cause of a refusal.
 	HeaderReason = "X-Shedrock-Reason"
-	// HeaderRequest carries the request's id, which is in every log line about it.
-	HeaderRequest = "X-Request-Id"
+	// HeaderRequestID carries the request's id, which is in every log line about it.
+	HeaderRequestID = "X-Request-Id"
 	// HeaderClass asks for a class of service.
 	HeaderClass = "X-Shedrock-Class"
 	// HeaderDeadline says after how many milliseconds a first token is of no use.
--- a/internal/transport/entry/callers.go
+++ b/internal/transport/entry/callers.go
@@ -53,7 +53,7 @@
 func (e *Entry) known(next func(http.ResponseWriter, *http.Request, caller)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c := caller{request: newRunID()}
-		w.Header().Set(HeaderRequest, c.request)
+		w.Header().Set(HeaderRequestID, c.request)
 		if !e.inFlight.begin() {
 			w.Header().Set("Connection", "close")
 			writeOutcome(w, outcome.NotRun{RetryAfter: time.Second, Reason: outcome.ReasonLeaving})
