--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -138,7 +138,7 @@
 		return err
 	}
 	e.Peers.Feed = f
-	e.Peers.Find = e.Find
+	e.Peers.Find = e.FindHints
 	e.Peers.Apply = e.Apply
 	e.Peers.Near = e.InRegion
 	e.Peers.Lend = e.Lend
--- a/internal/transport/entry/transfer.go
+++ b/internal/transport/entry/transfer.go
@@ -187,8 +187,8 @@
 	e.Apply(notes)
 }
 
-// Find returns what this entry's part of the directory knows of a prompt.
-func (e *Entry) Find(keys []prefix.Key) *placement.Hints {
+// FindHints returns what this entry's part of the directory knows of a prompt.
+func (e *Entry) FindHints(keys []prefix.Key) *placement.Hints {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.board.Find(keys)
