--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -139,7 +139,7 @@
 	}
 	e.Peers.Feed = f
 	e.Peers.Find = e.FindHints
-	e.Peers.Apply = e.Apply
+	e.Peers.Apply = e.ApplyNotes
 	e.Peers.Near = e.InRegion
 	e.Peers.Lend = e.Lend
 	e.Peers.Ends = e.Ends
--- a/internal/transport/entry/transfer.go
+++ b/internal/transport/entry/transfer.go
@@ -184,7 +184,7 @@
 		e.Peers.Note(keys, notes...)
 		return
 	}
-	e.Apply(notes)
+	e.ApplyNotes(notes)
 }
 
 // FindHints returns what this entry's part of the directory knows of a prompt.
@@ -194,9 +194,9 @@
 	return e.board.Find(keys)
 }
 
-// Apply takes notes into this entry's part of the directory, and frees the objects
+// ApplyNotes takes notes into this entry's part of the directory, and frees the objects
 // that are of no more use.
-func (e *Entry) Apply(notes []placement.Note) {
+func (e *Entry) ApplyNotes(notes []placement.Note) {
 	var useless []placement.Kept
 	now := clock.Now()
 	e.mu.Lock()
