--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -141,7 +141,7 @@
 	e.Peers.Find = e.FindHints
 	e.Peers.Apply = e.ApplyNotes
 	e.Peers.Near = e.InRegion
-	e.Peers.Lend = e.Lend
+	e.Peers.Lend = e.LendTokens
 	e.Peers.Ends = e.Ends
 	follower := &feed.Follower{
 		Feed: f, Self: e.Applied, Enforce: e.Enforce, Client: rpc.NewClient(), Log: e.Log,
--- a/internal/transport/entry/deadly_test.go
+++ b/internal/transport/entry/deadly_test.go
@@ -182,7 +182,7 @@
 		r := s.start(func(e *entry.Entry) {
 			e.Peers = &peers.Peers{
 				Name: e.Name, FailureDomain: e.FailureDomain, Listener: listener, Seeds: seeds, Feed: feed.New(),
-				Find: e.FindHints, Apply: e.ApplyNotes, Lend: e.Lend, Log: quiet(), Interval: 20 * time.Millisecond,
+				Find: e.FindHints, Apply: e.ApplyNotes, Lend: e.LendTokens, Log: quiet(), Interval: 20 * time.Millisecond,
 			}
 		})
 		r.Peers.Ends = r.Ends
--- a/internal/transport/entry/rate.go
+++ b/internal/transport/entry/rate.go
@@ -38,20 +38,20 @@
 // answer, this entry has a part of the rate of its own.
 func (e *Entry) borrow(ctx context.Context, team declared.Team, cost float64) limits.Loan {
 	if e.Peers == nil {
-		return e.Lend(team.Name(), cost)
+		return e.LendTokens(team.Name(), cost)
 	}
 	loan, own, err := e.Peers.Borrow(ctx, team.Name(), cost)
 	switch {
 	case own:
-		return e.Lend(team.Name(), cost)
+		return e.LendTokens(team.Name(), cost)
 	case err != nil:
 		return e.ownPart(team, cost)
 	}
 	return loan
 }
 
-// Lend lends tokens of a team's rate, as its owner.
-func (e *Entry) Lend(name string, cost float64) limits.Loan {
+// LendTokens lends tokens of a team's rate, as its owner.
+func (e *Entry) LendTokens(name string, cost float64) limits.Loan {
 	state := e.state.Load()
 	team, ok := state.Team(name)
 	if !ok {
