--- a/internal/transport/upstream/client.go
+++ b/internal/transport/upstream/client.go
@@ -1,11 +1,10 @@
-// Package upstream carries requests to engines, stores and plain services.
+// Package upstream is the HTTP client for engines, stores and plain services.
 //
-// No request is ever sent twice behind the caller's back, and no redirect is
-// followed. The HTTP library by itself resends a request that carries an
-// Idempotency-Key when a kept connection breaks, and posts a body again on 307
-// and 308; the first is kept from happening by a fresh connection for each call
-// that may not be repeated and by a body that cannot be read again, the second by
-// refusing to follow.
+// It never retries a request implicitly and never follows a redirect. By default
+// net/http resends a request that carries an Idempotency-Key when a reused
+// connection breaks, and posts a body again on 307 and 308. The first is prevented
+// by using a new connection and a non-rewindable body for each request that must
+// not be repeated, the second by a CheckRedirect that never follows.
 package upstream
 
 import (
@@ -26,26 +25,26 @@
 )
 
 const (
-	dialTimeout     = 500 * time.Millisecond
-	idleTimeout     = 90 * time.Second
-	idlePerUpstream = 64
-	bufferBytes     = 2 << 10
-	// maxHeaderBytes bounds what an upstream may send before its body.
+	dialTimeout        = 500 * time.Millisecond
+	idleTimeout        = 90 * time.Second
+	maxIdlePerUpstream = 64
+	bufferBytes        = 2 << 10
+	// maxHeaderBytes limits the size of a response header.
 	maxHeaderBytes = 64 << 10
 )
 
-// Client sends requests. Make one with New. It is safe for concurrent use.
+// Client sends requests to upstreams. Create one with New. It is safe for concurrent use.
 type Client struct {
-	// kept reuses connections; single opens one for each request.
-	kept, single *http.Client
+	// pooled reuses connections; single opens a new connection for each request.
+	pooled, single *http.Client
 }
 
-// New returns a client.
+// New returns a Client with empty connection pools.
 func New() *Client {
-	return &Client{kept: newHTTP(true), single: newHTTP(false)}
+	return &Client{pooled: newHTTPClient(true), single: newHTTPClient(false)}
 }
 
-func newHTTP(keep bool) *http.Client {
+func newHTTPClient(keepAlive bool) *http.Client {
 	dialer := netdial.Dialer(dialTimeout)
 	return &http.Client{
 		Transport: &http.Transport{
@@ -56,9 +55,9 @@
 				}
 				return &countingConn{Conn: c}, nil
 			},
-			DisableKeepAlives:      !keep,
+			DisableKeepAlives:      !keepAlive,
 			DisableCompression:     true,
-			MaxIdleConnsPerHost:    idlePerUpstream,
+			MaxIdleConnsPerHost:    maxIdlePerUpstream,
 			IdleConnTimeout:        idleTimeout,
 			ReadBufferSize:         bufferBytes,
 			WriteBufferSize:        bufferBytes,
@@ -75,17 +74,17 @@
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
-	// Counted before the write: a write that fails may still have got through.
+	// Counted before the write: a write that returns an error may still have sent bytes.
 	c.written.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
 
-// HTTP returns the client for requests that may be repeated and need no outcome,
-// such as reports of load.
-func (c *Client) HTTP() *http.Client { return c.kept }
+// HTTP returns the pooled client for idempotent requests whose outcome is not classified,
+// such as load reports.
+func (c *Client) HTTP() *http.Client { return c.pooled }
 
-// Refuses reports whether an address refuses connections, as it does when no process listens
-// there. An address that says nothing does not.
+// Refuses reports whether the instance's address refuses TCP connections, as it does when no
+// process listens there. A connection attempt that times out is not a refusal.
 func (c *Client) Refuses(ctx context.Context, in registry.Instance) bool {
 	conn, err := netdial.Dialer(dialTimeout).DialContext(ctx, "tcp", in.Address)
 	if err != nil {
@@ -95,11 +94,11 @@
 	return false
 }
 
-// doOnce sends a request that may not be repeated.
+// doOnce sends a request that must not be repeated.
 func (c *Client) doOnce(req *http.Request, run string, attempt int) (*http.Response, classify.Exchange) {
 	req.GetBody = nil
 	if req.Body != nil {
-		// Hides the body's type, so that the library cannot rewind it either.
+		// Hides the body's concrete type so that net/http cannot rewind it either.
 		req.Body = struct{ io.ReadCloser }{req.Body}
 	}
 	return send(c.single, req, run, attempt)
--- a/internal/transport/upstream/events.go
+++ b/internal/transport/upstream/events.go
@@ -11,28 +11,30 @@
 )
 
 var (
-	// errOtherRun says that an answer or event does not carry the run's id.
-	errOtherRun = errors.New("the answer belongs to another run")
-	// errGap says that an event does not follow the one before.
-	errGap = errors.New("an event does not follow the one before")
+	// errRunMismatch reports that a response or an event does not carry the run's id.
+	errRunMismatch = errors.New("the answer belongs to another run")
+	// errEventGap reports that an event number is not the previous one plus 1.
+	errEventGap = errors.New("event number does not follow the previous one")
 )
 
-// events are those of one run, checked one by one: another run's event, or a gap, ends
-// them, and nothing more of the connection counts.
-type events struct {
+// eventStream reads the event stream of one run and checks each event. An event of another run or
+// a gap in the numbers ends the stream with an error, and the rest of the connection is not
+// used.
+type eventStream struct {
 	body   io.ReadCloser
 	reader *openai.EventReader
 	mark   openai.RunMark
-	// last is the number of the last event.
+	// last is the number of the last event that was returned.
 	last uint64
 }
 
-func newEvents(a *exchange.Attempt, body io.ReadCloser) *events {
-	return &events{body: body, reader: openai.NewEventReader(body), mark: openai.NewRunMark(a.Run), last: a.After}
+func newEventStream(a *exchange.Attempt, body io.ReadCloser) *eventStream {
+	return &eventStream{body: body, reader: openai.NewEventReader(body), mark: openai.NewRunMark(a.Run), last: a.After}
 }
 
-// Next returns the next event; the end is io.EOF only after the mark that ends a whole answer.
-func (e *events) Next() (event exchange.Event, more bool, err error) {
+// Next returns the next event. It returns io.EOF only after the final marker of a complete
+// stream, and io.ErrUnexpectedEOF when the connection ends before it.
+func (e *eventStream) Next() (event exchange.Event, more bool, err error) {
 	read, err := e.reader.Next()
 	if err == io.EOF {
 		return event, false, io.ErrUnexpectedEOF
@@ -45,14 +47,15 @@
 	}
 	number, err := strconv.ParseUint(string(read.ID), 10, 64)
 	if err != nil || number != e.last+1 {
-		return event, false, errGap
+		return event, false, errEventGap
 	}
 	if !e.mark.In(read.Data) {
-		return event, false, errOtherRun
+		return event, false, errRunMismatch
 	}
 	e.last = number
 	return exchange.Event{Number: number, Data: read.Data}, e.reader.Buffered(), nil
 }
 
-// Close ends the connection, or gives it back after a whole answer.
-func (e *events) Close() { _ = e.body.Close() }
+// Close closes the response body: its connection returns to the pool after a complete response
+// and is closed otherwise.
+func (e *eventStream) Close() { _ = e.body.Close() }
--- a/internal/transport/upstream/send.go
+++ b/internal/transport/upstream/send.go
@@ -16,18 +16,18 @@
 	"github.com/shedrock/shedrock/internal/state/outcome"
 )
 
-// maxAnswerBytes bounds a whole answer, which is held until it is complete.
-const maxAnswerBytes = 16 << 20
+// maxResponseBytes limits a response that is not streamed, because it is buffered until complete.
+const maxResponseBytes = 16 << 20
 
-// errBrokenOff says that a whole answer did not come to its end.
-var errBrokenOff = errors.New("the answer broke off")
+// errIncomplete reports that a buffered response ended early or exceeds maxResponseBytes.
+var errIncomplete = errors.New("the answer broke off")
 
-// Send sends one attempt to an engine or a plain service, and reads the answer as far as it
-// is not a stream. An attempt that resumes goes on with its run's events.
+// Send sends one attempt to an engine or a plain service and, unless the response is a stream,
+// reads it to its end. An attempt that resumes requests the remaining events of its run.
 func (c *Client) Send(ctx context.Context, a *exchange.Attempt) exchange.Reply {
 	req, err := encode(ctx, a)
 	if err != nil {
-		return exchange.Unreached{Err: errors.Wrap(err, "make the request")}
+		return exchange.Unreached{Err: errors.Wrap(err, "build request")}
 	}
 	res, x := c.do(req, a)
 	switch o := classify.Outcome(x).(type) {
@@ -45,10 +45,10 @@
 		}
 		return exchange.Broken{Err: errors.New(o.Detail)}
 	}
-	panic("upstream: outcome that no exchange has")
+	panic("upstream: unexpected outcome of an exchange")
 }
 
-// conditionOf returns what an upstream says of itself as it refuses a run.
+// conditionOf returns the condition that an upstream reports when it refuses a run.
 func conditionOf(x classify.Exchange) exchange.Condition {
 	if x.Status != http.StatusServiceUnavailable {
 		return exchange.Condition{}
@@ -56,12 +56,12 @@
 	return exchange.Condition{RestFor: exchange.ParseRest(x.Header.Get("Retry-After"))}
 }
 
-// do makes the exchange, over a connection of its own when the attempt may not be repeated.
+// do performs the exchange, on a new connection when the attempt must not be repeated.
 func (c *Client) do(req *http.Request, a *exchange.Attempt) (*http.Response, classify.Exchange) {
 	if a.Single {
 		return c.doOnce(req, a.Run, a.Number)
 	}
-	return send(c.kept, req, a.Run, a.Number)
+	return send(c.pooled, req, a.Run, a.Number)
 }
 
 func encode(ctx context.Context, a *exchange.Attempt) (*http.Request, error) {
@@ -92,23 +92,23 @@
 	return req, nil
 }
 
-// receive turns an answer of this very run into a reply.
+// receive converts a response that belongs to this run into a reply.
 func receive(a *exchange.Attempt, res *http.Response) exchange.Reply {
 	head := exchange.Head{Status: res.StatusCode, Header: res.Header}
 	if a.Resumes && res.StatusCode != http.StatusOK {
 		_ = res.Body.Close()
-		return exchange.Broken{Err: errors.Errorf("the run's events were answered with %d", res.StatusCode)}
+		return exchange.Broken{Err: errors.Errorf("request for the run's events got status %d", res.StatusCode)}
 	}
 	if res.StatusCode == http.StatusOK && (a.Streamed || a.Resumes) {
-		return exchange.Stream{Head: head, Events: newEvents(a, res.Body)}
+		return exchange.Stream{Head: head, Events: newEventStream(a, res.Body)}
 	}
 	defer func() { _ = res.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
-	if err != nil || len(body) > maxAnswerBytes {
-		return exchange.Broken{Err: errBrokenOff}
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes+1))
+	if err != nil || len(body) > maxResponseBytes {
+		return exchange.Broken{Err: errIncomplete}
 	}
 	if a.Prompt != nil && res.StatusCode == http.StatusOK && !openai.NewRunMark(a.Run).In(body) {
-		return exchange.Broken{Err: errOtherRun}
+		return exchange.Broken{Err: errRunMismatch}
 	}
 	return exchange.Whole{Head: head, Body: body}
 }
