--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -1,9 +1,8 @@
-// Package retry decides what follows when an attempt to run a prompt ends.
+// Package retry decides what to do when an attempt to run a request ends.
 //
-// Two rules bound it. Once a caller has been sent part of an answer, only the
-// same run may go on: two generations are never spliced. And retries are a share
-// of the traffic, so that upstreams that are all slow are not asked ever more
-// often.
+// Two rules bound it. Once a caller has been sent part of an answer, only the same run may continue
+// it: the output of two runs is never spliced. And retries are limited to a share of the traffic,
+// so that retries do not amplify the load when all upstreams are slow.
 package retry
 
 import (
@@ -13,52 +12,52 @@
 )
 
 const (
-	// MaxAttempts bounds the dispatches of one prompt that reached an upstream, the
-	// first included.
+	// MaxAttempts bounds the dispatches of one prompt that reached an upstream, including the
+	// first.
 	MaxAttempts = 3
-	// MaxUnreached bounds the dispatches that reached none. They cost no upstream
-	// anything, and dead upstreams look idle, so that several are met in a row.
+	// MaxUnreached bounds the dispatches that reached no upstream. They cost the upstreams nothing,
+	// and because dead upstreams look idle, several may be chosen in a row.
 	MaxUnreached = 8
-	// maxResumes bounds how often one run is picked up again.
+	// maxResumes bounds how often one run is resumed.
 	maxResumes = 2
-	// retryAfter is what a caller is told when no upstream took the prompt.
-	retryAfter = time.Second
+	// promptRetryAfter is the Retry-After for callers when no upstream accepted the prompt.
+	promptRetryAfter = time.Second
 )
 
-// Result says how an attempt ended. It is one of Whole, Refused, Unreached,
-// Misdirected, Broken or CallerGone.
-type Result interface{ end() }
+// Result is how an attempt ended. It is one of Completed, Refused, Unreached, Misdirected, Broken
+// or CallerGone.
+type Result interface{ result() }
 
-// Completed says that the whole answer was passed on.
+// Completed means that the whole answer was passed on to the caller.
 type Completed struct{ Status int }
 
-// Refused says that the upstream refused this very run, and named it.
+// Refused means that the upstream refused this run, identifying it by its ID.
 type Refused struct{}
 
-// Unreached says that no byte of the request reached the upstream.
+// Unreached means that no byte of the request reached the upstream.
 type Unreached struct{}
 
-// Misdirected says that the upstream got the request and did not run it, because it is
-// not the one that was meant or has other weights.
+// Misdirected means that the upstream received the request but did not run it, because it is not
+// the intended instance or serves another weight version.
 type Misdirected struct{}
 
-// Broken says that the answer ended early or belonged to another run. Sent is
-// how many events the caller has been sent.
+// Broken means that the answer ended early or belonged to another run. Sent is how many events the
+// caller has been sent.
 type Broken struct{ Sent uint64 }
 
-// CallerGone says that nobody waits for the answer.
+// CallerGone means that the caller disconnected.
 type CallerGone struct{}
 
-func (Completed) end()   {}
-func (Refused) end()     {}
-func (Unreached) end()   {}
-func (Misdirected) end() {}
-func (Broken) end()      {}
-func (CallerGone) end()  {}
+func (Completed) result()   {}
+func (Refused) result()     {}
+func (Unreached) result()   {}
+func (Misdirected) result() {}
+func (Broken) result()      {}
+func (CallerGone) result()  {}
 
-// Label is the short name of an end for metrics and logs.
-func Label(end Result) string {
-	switch end.(type) {
+// Label returns the name of a result in metrics and logs.
+func Label(result Result) string {
+	switch result.(type) {
 	case Completed:
 		return "whole"
 	case Refused:
@@ -72,16 +71,16 @@
 	case CallerGone:
 		return "caller_gone"
 	}
-	panic("retry: end outside the sealed set")
+	panic("retry: unknown result type")
 }
 
-// Step is what follows. It is one of Dispatch, Resume or Stop.
+// Step is what to do next. It is one of Dispatch, Resume or Stop.
 type Step interface{ step() }
 
-// Dispatch tries another upstream.
+// Dispatch sends the request to another upstream.
 type Dispatch struct{}
 
-// Resume goes on with the same run at the same upstream after Offset events.
+// Resume continues the same run on the same upstream after Offset events.
 type Resume struct{ Offset uint64 }
 
 // Stop ends the request with its final outcome.
@@ -91,62 +90,62 @@
 func (Resume) step()   {}
 func (Stop) step()     {}
 
-// PromptAttempts is the state of one prompt's attempts. The zero value has made none.
+// PromptAttempts is the state of the attempts of one prompt. The zero value is ready for use.
 type PromptAttempts struct {
-	// attempts counts dispatches, unreached those of them that reached no upstream,
-	// and resumes how often the present run was picked up.
+	// attempts counts dispatches, unreached those among them that reached no upstream, and resumes
+	// how often the current run was resumed.
 	attempts, unreached, resumes int
-	// reached is true once any attempt may have run.
-	reached bool
+	// mayHaveRun is true once any attempt may have run.
+	mayHaveRun bool
 }
 
 // Attempts returns the number of dispatches.
 func (r *PromptAttempts) Attempts() int { return r.attempts }
 
-// Begin counts a dispatch and returns its number, from 1.
+// Begin counts a dispatch and returns its number, starting from 1.
 func (r *PromptAttempts) Begin() int {
 	r.attempts++
 	r.resumes = 0
 	return r.attempts
 }
 
-// Next decides what follows the end of an attempt. streamed is true when the
-// engine's run can be picked up by offset.
-func (r *PromptAttempts) Next(end Result, streamed bool, budget *Budget) Step {
-	switch end := end.(type) {
+// Next decides what to do after an attempt. streamed is true if the engine's run can be resumed at
+// an offset.
+func (r *PromptAttempts) Next(result Result, streamed bool, budget *Budget) Step {
+	switch result := result.(type) {
 	case Completed:
-		return Stop{outcome.Answered{Status: end.Status}}
+		return Stop{outcome.Answered{Status: result.Status}}
 	case CallerGone:
 		return Stop{outcome.CallerGone}
 	case Refused:
-		return r.again(outcome.ReasonRefused, budget)
+		return r.redispatch(outcome.ReasonRefused, budget)
 	case Unreached, Misdirected:
-		return r.elsewhere()
+		return r.dispatchElsewhere()
 	case Broken:
-		r.reached = true
+		r.mayHaveRun = true
 		if streamed && r.resumes < maxResumes {
 			r.resumes++
-			return Resume{Offset: end.Sent}
+			return Resume{Offset: result.Sent}
 		}
-		if end.Sent > 0 {
+		if result.Sent > 0 {
 			return Stop{outcome.Failed{Detail: "the answer broke off and its run cannot go on"}}
 		}
-		return r.again(outcome.ReasonUnreachable, budget)
+		return r.redispatch(outcome.ReasonUnreachable, budget)
 	}
-	panic("retry: end outside the sealed set")
+	panic("retry: unknown result type")
 }
 
-// again dispatches anew within the bounds, or ends the request.
-func (r *PromptAttempts) again(reason outcome.Reason, budget *Budget) Step {
+// redispatch sends the request to another upstream within the bounds, or ends it.
+func (r *PromptAttempts) redispatch(reason outcome.Reason, budget *Budget) Step {
 	if r.attempts-r.unreached < MaxAttempts && budget.Take() {
 		return Dispatch{}
 	}
 	return Stop{r.GiveUp(reason)}
 }
 
-// elsewhere dispatches anew after an upstream was not reached. That is no retry in
-// the budget's sense: nothing was asked of anybody.
-func (r *PromptAttempts) elsewhere() Step {
+// dispatchElsewhere sends the request to another upstream after one was not reached. That does not
+// use the retry budget, because no upstream had any work from it.
+func (r *PromptAttempts) dispatchElsewhere() Step {
 	r.unreached++
 	if r.unreached < MaxUnreached {
 		return Dispatch{}
@@ -154,46 +153,45 @@
 	return Stop{r.GiveUp(outcome.ReasonUnreachable)}
 }
 
-// GiveUp is the outcome when no further attempt is made: NotRun only when no
-// attempt can have run.
+// GiveUp returns the outcome when no further attempt is made: NotRun only if no attempt can have
+// run.
 func (r *PromptAttempts) GiveUp(reason outcome.Reason) outcome.Outcome {
-	return r.Reject(retryAfter, reason)
+	return r.Reject(promptRetryAfter, reason)
 }
 
-// Reject is the outcome when the prompt is not sent any more for a reason of its own, and a
-// caller may come back after a while.
+// Reject returns the outcome when the prompt must not be sent (again) for the given reason; the
+// caller may retry after the given time.
 func (r *PromptAttempts) Reject(after time.Duration, reason outcome.Reason) outcome.Outcome {
-	if r.reached {
+	if r.mayHaveRun {
 		return outcome.Failed{Detail: "no upstream gave a whole answer"}
 	}
 	return outcome.NotRun{RetryAfter: after, Reason: reason}
 }
 
 const (
-	// budgetShare is how many retries each request earns.
-	budgetShare = 0.1
-	// budgetMost is how many retries may be saved up.
-	budgetMost = 20
+	// retriesPerRequest is how many retries each request adds to the budget.
+	retriesPerRequest = 0.1
+	// maxBudget is how many unused retries may accumulate.
+	maxBudget = 20
 )
 
-// Budget bounds retries to a share of the requests. It is not safe for
-// concurrent use.
+// Budget limits retries to a share of the requests. It is not safe for concurrent use.
 type Budget struct {
-	// saved is the number of retries that may be made now, at most budgetMost.
-	saved float64
+	// available is the number of retries that may be made now, at most maxBudget.
+	available float64
 }
 
 // NewBudget returns a full budget.
-func NewBudget() *Budget { return &Budget{saved: budgetMost} }
+func NewBudget() *Budget { return &Budget{available: maxBudget} }
 
-// Earn notes a request.
-func (b *Budget) Earn() { b.saved = min(b.saved+budgetShare, budgetMost) }
+// Earn adds the share of one request to the budget.
+func (b *Budget) Earn() { b.available = min(b.available+retriesPerRequest, maxBudget) }
 
-// Take uses one retry; it reports false when none is left.
+// Take uses one retry; it returns false if none is left.
 func (b *Budget) Take() bool {
-	if b.saved < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.saved--
+	b.available--
 	return true
 }
--- a/internal/coordination/retry/retry_test.go
+++ b/internal/coordination/retry/retry_test.go
@@ -23,15 +23,15 @@
 		{"whole", []retry.Result{retry.Completed{Status: 200}}, true, retry.Stop{Outcome: outcome.Answered{Status: 200}}},
 		{"refused once", []retry.Result{retry.Refused{}}, false, retry.Dispatch{}},
 		{"refused everywhere", []retry.Result{retry.Refused{}, retry.Refused{}, retry.Refused{}}, false, notRun(outcome.ReasonRefused)},
-		{"unreached thrice: others may live", []retry.Result{retry.Unreached{}, retry.Unreached{}, retry.Unreached{}}, true, retry.Dispatch{}},
+		{"unreached three times: others may be reachable", []retry.Result{retry.Unreached{}, retry.Unreached{}, retry.Unreached{}}, true, retry.Dispatch{}},
 		{"unreached everywhere", slices.Repeat([]retry.Result{retry.Unreached{}}, retry.MaxUnreached), true, notRun(outcome.ReasonUnreachable)},
 		{"unreached does not use up attempts", []retry.Result{retry.Unreached{}, retry.Unreached{}, retry.Refused{}, retry.Refused{}}, false, retry.Dispatch{}},
-		{"broken, then refused: it may have run", []retry.Result{retry.Broken{}, retry.Refused{}, retry.Refused{}}, false,
+		{"broken, then refused: may have run", []retry.Result{retry.Broken{}, retry.Refused{}, retry.Refused{}}, false,
 			retry.Stop{Outcome: outcome.Failed{Detail: "no upstream gave a whole answer"}}},
-		{"a broken stream goes on", []retry.Result{retry.Broken{Sent: 5}}, true, retry.Resume{Offset: 5}},
-		{"a broken stream that cannot go on is never spliced", []retry.Result{retry.Broken{Sent: 5}, retry.Broken{Sent: 7}, retry.Broken{Sent: 7}}, true,
+		{"a broken stream resumes", []retry.Result{retry.Broken{Sent: 5}}, true, retry.Resume{Offset: 5}},
+		{"a broken stream that cannot resume is never spliced", []retry.Result{retry.Broken{Sent: 5}, retry.Broken{Sent: 7}, retry.Broken{Sent: 7}}, true,
 			retry.Stop{Outcome: outcome.Failed{Detail: "the answer broke off and its run cannot go on"}}},
-		{"a stream of which nothing was sent may run elsewhere", []retry.Result{retry.Broken{}, retry.Broken{}, retry.Broken{}}, true, retry.Dispatch{}},
+		{"a stream without a sent event may run elsewhere", []retry.Result{retry.Broken{}, retry.Broken{}, retry.Broken{}}, true, retry.Dispatch{}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestNoRetryStorm has every upstream fail for every request: beyond what was saved
-// up, retries are a tenth of the requests.
+// TestNoRetryStorm guards against retry storms: every upstream fails every request, and beyond the
+// accumulated budget the retries must stay at a tenth of the requests.
 func TestNoRetryStorm(t *testing.T) {
 	const requests = 1000
 	budget := retry.NewBudget()
--- a/internal/coordination/retry/tries.go
+++ b/internal/coordination/retry/tries.go
@@ -7,101 +7,102 @@
 )
 
 const (
-	// mostUnreached bounds the instances that a request does not reach one after the
-	// other: nothing was sent to them, so they cost only time.
-	mostUnreached = 4
-	// returnAfter is when a caller may come back after a refusal: an instance that is full
-	// has worked off a good part of its queue by then.
-	returnAfter = 300 * time.Millisecond
+	// maxUnreachedInstances bounds how many instances a request may fail to reach: nothing was sent to
+	// them, so they cost only time.
+	maxUnreachedInstances = 4
+	// requestRetryAfter is the Retry-After for callers when no instance accepted the request: an
+	// instance that is full has processed a good part of its queue by then.
+	requestRetryAfter = 300 * time.Millisecond
 )
 
-// RequestAttempts decides what follows each attempt at one request whose route says how often it may
-// run. It holds no clock. Set the exported fields before Next.
+// RequestAttempts decides what to do after each attempt of one request to a service, according to
+// the request's route. It does not read the clock. The exported fields must be set before Next is
+// called.
 type RequestAttempts struct {
 	// MaxAttempts is the largest number of instances to which the request is sent.
 	MaxAttempts int
-	// Idempotent says that it may run more than once.
+	// Idempotent is true if the request may run more than once.
 	Idempotent bool
-	// Streamed says that its answer is a stream; one that repeats goes on behind the last
-	// event that the caller has.
+	// Streamed is true if the answer is a stream; if it is also idempotent, a broken one is resumed
+	// after the last event that the caller received.
 	Streamed bool
 
 	sent, unreached int
-	ran             bool
+	mayHaveRun      bool
 }
 
-// Next decides what follows an attempt; may is asked whether one more send is within the
-// budget, and counts it when it is.
-func (t *RequestAttempts) Next(end Result, may func() bool) Step {
-	switch end := end.(type) {
+// Next decides what to do after an attempt. takeBudget reports whether the budget allows one more
+// send, and if so counts it.
+func (t *RequestAttempts) Next(result Result, takeBudget func() bool) Step {
+	switch result := result.(type) {
 	case Completed:
 		t.sent++
-		t.ran = true
-		if end.Status >= 500 && t.again(may) {
+		t.mayHaveRun = true
+		if result.Status >= 500 && t.mayRetry(takeBudget) {
 			return Dispatch{}
 		}
-		return Stop{outcome.Answered{Status: end.Status}}
+		return Stop{outcome.Answered{Status: result.Status}}
 	case CallerGone:
 		return Stop{outcome.CallerGone}
 	case Unreached:
 		t.unreached++
-		if t.unreached < mostUnreached {
+		if t.unreached < maxUnreachedInstances {
 			return Dispatch{}
 		}
 		return Stop{t.giveUp(outcome.ReasonUnreachable)}
 	case Misdirected:
 		t.unreached++
-		if t.unreached < mostUnreached && may() {
+		if t.unreached < maxUnreachedInstances && takeBudget() {
 			return Dispatch{}
 		}
 		return Stop{t.giveUp(outcome.ReasonRefused)}
 	case Refused:
 		t.sent++
-		if t.sent < t.MaxAttempts && may() {
+		if t.sent < t.MaxAttempts && takeBudget() {
 			return Dispatch{}
 		}
 		return Stop{t.giveUp(outcome.ReasonRefused)}
 	case Broken:
-		return t.broken(end, may)
+		return t.broken(result, takeBudget)
 	}
-	panic("retry: end outside the sealed set")
+	panic("retry: unknown result type")
 }
 
-func (t *RequestAttempts) broken(end Broken, may func() bool) Step {
+func (t *RequestAttempts) broken(result Broken, takeBudget func() bool) Step {
 	t.sent++
-	t.ran = true
+	t.mayHaveRun = true
 	if !t.Idempotent {
-		if end.Sent > 0 {
+		if result.Sent > 0 {
 			return Stop{outcome.Failed{Detail: "the answer broke off"}}
 		}
 		return Stop{outcome.Unknown{Detail: "the instance gave no whole answer"}}
 	}
-	if !t.again(may) {
+	if !t.mayRetry(takeBudget) {
 		return Stop{outcome.Failed{Detail: "the answer broke off, and no attempt is left"}}
 	}
-	if t.Streamed && end.Sent > 0 {
-		return Resume{Offset: end.Sent}
+	if t.Streamed && result.Sent > 0 {
+		return Resume{Offset: result.Sent}
 	}
 	return Dispatch{}
 }
 
-// again reports whether a request that ran may be sent once more.
-func (t *RequestAttempts) again(may func() bool) bool {
-	return t.Idempotent && t.sent < t.MaxAttempts && may()
+// mayRetry reports whether a request that may have run can be sent again.
+func (t *RequestAttempts) mayRetry(takeBudget func() bool) bool {
+	return t.Idempotent && t.sent < t.MaxAttempts && takeBudget()
 }
 
-// GiveUp is the outcome when no instance is left to try.
+// GiveUp returns the outcome when no instance is left to try.
 func (t *RequestAttempts) GiveUp() outcome.Outcome { return t.giveUp(outcome.ReasonNoUpstream) }
 
-// Reject is the outcome when the request is not sent any more for a reason of its own, and a
-// caller may come back after a while.
+// Reject returns the outcome when the request must not be sent (again) for the given reason; the
+// caller may retry after the given time.
 func (t *RequestAttempts) Reject(after time.Duration, reason outcome.Reason) outcome.Outcome {
-	if t.ran {
+	if t.mayHaveRun {
 		return outcome.Failed{Detail: "no instance gave a whole answer"}
 	}
 	return outcome.NotRun{RetryAfter: after, Reason: reason}
 }
 
 func (t *RequestAttempts) giveUp(reason outcome.Reason) outcome.Outcome {
-	return t.Reject(returnAfter, reason)
+	return t.Reject(requestRetryAfter, reason)
 }
--- a/internal/coordination/retry/truthful_test.go
+++ b/internal/coordination/retry/truthful_test.go
@@ -7,40 +7,40 @@
 	"github.com/shedrock/shedrock/internal/state/outcome"
 )
 
-// A caller is told "not run" only if no attempt can have run: in every sequence of ends, for every
-// kind of request, with and without an allowance for repeated sends.
-func TestNotRunIsTrue(t *testing.T) {
+// A caller gets NotRun only if no attempt can have run. Checks every sequence of results, for every
+// kind of request, with and without retry budget.
+func TestNotRunOnlyIfNoAttemptRan(t *testing.T) {
 	ends := []retry.Result{
 		retry.Completed{Status: 200}, retry.Completed{Status: 500}, retry.Refused{}, retry.Unreached{}, retry.Misdirected{},
 		retry.Broken{}, retry.Broken{Sent: 3}, retry.CallerGone{},
 	}
-	const most = 5
+	const maxDepth = 5
 	var try func(tries retry.RequestAttempts, may func() bool, ran bool, depth int)
 	try = func(tries retry.RequestAttempts, may func() bool, ran bool, depth int) {
 		if notRun(tries.GiveUp()) && ran {
-			t.Errorf("%+v gives up as not run after it may have run", tries)
+			t.Errorf("%+v: GiveUp returned NotRun after an attempt that may have run", tries)
 		}
-		if depth == most {
+		if depth == maxDepth {
 			return
 		}
 		for _, end := range ends {
 			next := tries
-			ranBy := ran || mayHaveRun(end)
+			ranSoFar := ran || mayHaveRun(end)
 			stop, ok := next.Next(end, may).(retry.Stop)
 			if !ok {
-				try(next, may, ranBy, depth+1)
+				try(next, may, ranSoFar, depth+1)
 				continue
 			}
-			if ranBy && notRun(stop.Outcome) {
-				t.Errorf("%+v after %#v: not run", tries, end)
+			if ranSoFar && notRun(stop.Outcome) {
+				t.Errorf("%+v: NotRun after %#v, although an attempt may have run", tries, end)
 			}
 		}
 	}
 	for _, attempts := range []int{1, 2, 3} {
 		for _, kind := range []retry.RequestAttempts{{}, {Idempotent: true}, {Streamed: true}, {Idempotent: true, Streamed: true}} {
 			kind.MaxAttempts = attempts
-			try(kind, yes, false, 0)
-			try(kind, no, false, 0)
+			try(kind, allow, false, 0)
+			try(kind, deny, false, 0)
 		}
 	}
 }
--- a/internal/coordination/retry/window.go
+++ b/internal/coordination/retry/window.go
@@ -3,71 +3,71 @@
 import "time"
 
 const (
-	// windowParts is how finely a window slides.
-	windowParts = 10
-	// safety is the part of the allowance that is used: entries see the same second a
-	// little differently, and a message that was lost may have arrived.
-	safety = 0.8
+	// windowBuckets is the number of buckets in a sliding window.
+	windowBuckets = 10
+	// safetyFactor is the part of the allowance that is used. The rest covers entries that count
+	// the same second slightly differently, and requests that were taken for lost but arrived.
+	safetyFactor = 0.8
 )
 
-// Allowance bounds repeated sends over all entries together.
+// Allowance limits retries over all entries together.
 type Allowance struct {
-	// Ratio is the share of the requests in Window that may be sent again, and Slack is how
-	// many may be besides; both may be fractions.
+	// Ratio is the share of the requests within Window that may be retried, and Slack how many
+	// retries are allowed in addition. Both may be fractions.
 	Ratio  float64
 	Window time.Duration
 	Slack  float64
 }
 
-// Window counts the requests and repeated sends of one service at one entry. The
-// allowance holds for all entries: each takes the share of its own requests, and an equal
-// part of the slack. It is not safe for concurrent use.
+// Window counts the requests and retries of one service at one entry. The allowance holds for all
+// entries together: each one gets the ratio of its own requests, and an equal part of the slack. It
+// is not safe for concurrent use.
 type Window struct {
 	Allowance Allowance
 
-	parts [windowParts]counts
-	// start is the first time seen: only differences count, so that a step of the time of
-	// day changes nothing. at is the number of the newest part since then.
+	buckets [windowBuckets]counts
+	// start is the time of the first call. Only differences from it are used, so that changes of
+	// the wall clock have no effect. index is the number of the newest bucket, counted from start.
 	start time.Time
-	at    int64
+	index int64
 }
 
-type counts struct{ requests, repeats int }
+type counts struct{ requests, retries int }
 
-// CountRequest notes a request.
-func (w *Window) CountRequest(now time.Time) { w.part(now).requests++ }
+// CountRequest counts a request.
+func (w *Window) CountRequest(now time.Time) { w.bucket(now).requests++ }
 
-// Take counts one repeated send if it is within the allowance; entries is how many entries
-// share it.
+// Take counts one retry and returns true if it is within the allowance; entries is the number of
+// entries that share the allowance.
 func (w *Window) Take(now time.Time, entries int) bool {
-	p := w.part(now)
+	p := w.bucket(now)
 	var sum counts
-	for _, c := range w.parts {
+	for _, c := range w.buckets {
 		sum.requests += c.requests
-		sum.repeats += c.repeats
+		sum.retries += c.retries
 	}
-	allowed := safety * (w.Allowance.Ratio*float64(sum.requests) + w.Allowance.Slack/float64(max(entries, 1)))
-	if float64(sum.repeats+1) > allowed {
+	allowed := safetyFactor * (w.Allowance.Ratio*float64(sum.requests) + w.Allowance.Slack/float64(max(entries, 1)))
+	if float64(sum.retries+1) > allowed {
 		return false
 	}
-	p.repeats++
+	p.retries++
 	return true
 }
 
-// part returns the newest part, after dropping those that are out of the window.
-func (w *Window) part(now time.Time) *counts {
-	length := max(w.Allowance.Window/windowParts, time.Millisecond)
+// bucket returns the current bucket, after clearing those that are outside the window.
+func (w *Window) bucket(now time.Time) *counts {
+	length := max(w.Allowance.Window/windowBuckets, time.Millisecond)
 	if w.start.IsZero() {
 		w.start = now
 	}
-	at := int64(now.Sub(w.start) / length)
-	if at-w.at >= windowParts {
-		w.parts = [windowParts]counts{}
-		w.at = at
+	index := int64(now.Sub(w.start) / length)
+	if index-w.index >= windowBuckets {
+		w.buckets = [windowBuckets]counts{}
+		w.index = index
 	}
-	for w.at < at {
-		w.at++
-		w.parts[w.at%windowParts] = counts{}
+	for w.index < index {
+		w.index++
+		w.buckets[w.index%windowBuckets] = counts{}
 	}
-	return &w.parts[w.at%windowParts]
+	return &w.buckets[w.index%windowBuckets]
 }
