--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -39,8 +39,8 @@
 	Overdue bool
 }
 
-// Orderer is who gives orders. It is a plain value.
-type Orderer struct {
+// Controller is who gives orders. It is a plain value.
+type Controller struct {
 	// Token fences its orders.
 	Token uint64
 	// Unchecked is set once the orderer before has certainly stopped: engines that do
@@ -54,7 +54,7 @@
 // Plan returns the orders to give now, in the order of names. An engine that checks
 // orders and has not seen the orderer's token is told to go on as it is, so that it
 // refuses whatever the orderer before may still send.
-func Plan(instances []Instance, targets func(string) (Target, bool), by Orderer) []Order {
+func Plan(instances []Instance, targets func(string) (Target, bool), by Controller) []Order {
 	byModel := map[string][]Instance{}
 	for _, i := range instances {
 		byModel[i.Model] = append(byModel[i.Model], i)
@@ -70,7 +70,7 @@
 	return orders
 }
 
-func planModel(instances []Instance, target Target, by Orderer) []Order {
+func planModel(instances []Instance, target Target, by Controller) []Order {
 	wanted := target.Version
 	loading, serving := 0, 0
 	for _, i := range instances {
