--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -43,9 +43,9 @@
 type Controller struct {
 	// Token fences its orders.
 	Token uint64
-	// Unchecked is set once the orderer before has certainly stopped: engines that do
+	// PredecessorStopped is set once the orderer before has certainly stopped: engines that do
 	// not check orders get none until then.
-	Unchecked bool
+	PredecessorStopped bool
 }
 
 // Order tells one engine to serve a version.
@@ -88,7 +88,7 @@
 	var orders []Order
 	slices.SortFunc(instances, func(a, b Instance) int { return cmp.Compare(a.Name, b.Name) })
 	for _, i := range instances {
-		mayOrder := i.Reachable && !i.Held && (i.ChecksOrders || by.Unchecked)
+		mayOrder := i.Reachable && !i.Held && (i.ChecksOrders || by.PredecessorStopped)
 		if !mayOrder {
 			continue
 		}
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -55,7 +55,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if diff := cmp.Diff(c.want, rollout.Plan(c.instances, models("v2"), rollout.Controller{Token: c.token, Unchecked: c.unchecked})); diff != "" {
+			if diff := cmp.Diff(c.want, rollout.Plan(c.instances, models("v2"), rollout.Controller{Token: c.token, PredecessorStopped: c.unchecked})); diff != "" {
 				t.Fatal(diff)
 			}
 		})
@@ -103,7 +103,7 @@
 		for range 60 {
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1: // an orderer reads and orders, and dies after some of it
-				orders := rollout.Plan(seen(), wanted, rollout.Controller{Unchecked: true})
+				orders := rollout.Plan(seen(), wanted, rollout.Controller{PredecessorStopped: true})
 				for _, o := range orders[:rapid.IntRange(0, len(orders)).Draw(t, "given")] {
 					give(o)
 					check()
@@ -119,7 +119,7 @@
 		}
 		silent = -1
 		for range 20 {
-			for _, o := range rollout.Plan(seen(), wanted, rollout.Controller{Unchecked: true}) {
+			for _, o := range rollout.Plan(seen(), wanted, rollout.Controller{PredecessorStopped: true}) {
 				give(o)
 				check()
 			}
--- a/internal/transport/orders/orders.go
+++ b/internal/transport/orders/orders.go
@@ -76,7 +76,7 @@
 		return
 	}
 	instances := o.Fleet.Read(ctx)
-	by := rollout.Controller{Token: o.token, Unchecked: clock.Since(o.since) >= o.PredecessorTimeout}
+	by := rollout.Controller{Token: o.token, PredecessorStopped: clock.Since(o.since) >= o.PredecessorTimeout}
 	for _, order := range rollout.Plan(instances, o.Fleet.Target, by) {
 		if !o.stillLeads(ctx) {
 			return
