--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -31,9 +31,9 @@
 	Version, Loading string
 	// Token is the highest that it has seen.
 	Token uint64
-	// Held is true while the engine is not to be ordered yet, because requests are still
+	// AwaitingDrain is true while the engine is not to be ordered yet, because requests are still
 	// being sent to it.
-	Held bool
+	AwaitingDrain bool
 	// Overdue is true when it has been loading for so long that it may never end: it holds no
 	// place that another engine could load in.
 	Overdue bool
@@ -88,7 +88,7 @@
 	var orders []Order
 	slices.SortFunc(instances, func(a, b Instance) int { return cmp.Compare(a.Name, b.Name) })
 	for _, i := range instances {
-		mayOrder := i.Reachable && !i.Held && (i.ChecksOrders || by.PredecessorStopped)
+		mayOrder := i.Reachable && !i.AwaitingDrain && (i.ChecksOrders || by.PredecessorStopped)
 		if !mayOrder {
 			continue
 		}
--- a/internal/transport/orders/registered.go
+++ b/internal/transport/orders/registered.go
@@ -240,7 +240,7 @@
 	defer e.mu.Unlock()
 	now := clock.Now()
 	out.Reachable = true
-	out.Held = known.named.IsZero() || now.Sub(known.named) < namedBefore
+	out.AwaitingDrain = known.named.IsZero() || now.Sub(known.named) < namedBefore
 	out.Version = text(min(known.report.Weights[model], wanted))
 	if known.report.Busy || now.Sub(known.given) < quietAfterOrder {
 		// The engine does not say what it loads; an order on top of it is refused.
