--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -34,9 +34,9 @@
 	// AwaitingDrain is true while the engine is not to be ordered yet, because requests are still
 	// being sent to it.
 	AwaitingDrain bool
-	// Overdue is true when it has been loading for so long that it may never end: it holds no
+	// LoadOverdue is true when it has been loading for so long that it may never end: it holds no
 	// place that another engine could load in.
-	Overdue bool
+	LoadOverdue bool
 }
 
 // Controller is who gives orders. It is a plain value.
@@ -75,7 +75,7 @@
 	loading, serving := 0, 0
 	for _, i := range instances {
 		switch {
-		case i.Overdue:
+		case i.LoadOverdue:
 		case i.Reachable && i.Loading != "":
 			loading++
 		case i.Reachable:
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -26,7 +26,7 @@
 	unchecked.ChecksOrders = false
 	silent := rollout.Instance{Name: "a", Model: "m", ChecksOrders: true}
 	overdue := instance("a", "v1", "v2")
-	overdue.Overdue = true
+	overdue.LoadOverdue = true
 	cases := []struct {
 		name      string
 		instances []rollout.Instance
--- a/internal/transport/orders/registered.go
+++ b/internal/transport/orders/registered.go
@@ -245,7 +245,7 @@
 	if known.report.Busy || now.Sub(known.given) < quietAfterOrder {
 		// The engine does not say what it loads; an order on top of it is refused.
 		out.Loading = text(wanted)
-		out.Overdue = known.overdue(now)
+		out.LoadOverdue = known.overdue(now)
 	}
 	return out, true
 }
