--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -65,7 +65,7 @@
 	if !ok && len(b.facts) >= mostFacts && !b.makeRoom(fact) {
 		return false
 	}
-	if _, ended := fact.(Ended); ended && !ok {
+	if _, ended := fact.(InstanceEnded); ended && !ok {
 		b.ends[k.digest] = append(b.ends[k.digest], k)
 		b.ended[k.of]++
 	}
@@ -82,12 +82,12 @@
 // when they started, each entry that sees an end names the incarnation by itself. What was sent
 // after an end had been seen ran in another life.
 func (b *Book) toldOtherwise(fact Fact) bool {
-	end, ok := fact.(Ended)
+	end, ok := fact.(InstanceEnded)
 	if !ok || end.Of.Start >= 0 {
 		return false
 	}
 	return slices.ContainsFunc(b.ends[end.Digest], func(k Key) bool {
-		other := b.facts[k].fact.(Ended)
+		other := b.facts[k].fact.(InstanceEnded)
 		return k.of != end.Of && k.of.ID == end.Of.ID && k.of.Start < 0 && !end.Sent.After(other.At) && !other.Sent.After(end.At)
 	})
 }
@@ -95,7 +95,7 @@
 // replaces reports whether a fact is to be kept in place of an older one of its key. Of an end
 // the first report is kept, unless it was refuted since: whoever sees it later has a slower sign.
 func (b *Book) replaces(newer, older Fact) bool {
-	if e, ended := older.(Ended); ended {
+	if e, ended := older.(InstanceEnded); ended {
 		return b.refuted(e) && newer.When().After(e.At)
 	}
 	return newer.When().After(older.When().Add(SameTime))
@@ -135,10 +135,10 @@
 func (b *Book) Doubts(of registry.Incarnation) bool { return b.ended[of] > 0 && !b.over[of] }
 
 // Doubted returns the ends of which it is not certain that the instance has ended.
-func (b *Book) Doubted() []Ended {
-	var out []Ended
+func (b *Book) Doubted() []InstanceEnded {
+	var out []InstanceEnded
 	for _, e := range b.facts {
-		if end, ok := e.fact.(Ended); ok && !b.over[end.Of] {
+		if end, ok := e.fact.(InstanceEnded); ok && !b.over[end.Of] {
 			out = append(out, end)
 		}
 	}
@@ -154,7 +154,7 @@
 
 // refuted reports whether the instance answered what was sent to it after its end was seen, as
 // one does whose connections were refused by something between.
-func (b *Book) refuted(e Ended) bool {
+func (b *Book) refuted(e InstanceEnded) bool {
 	heard, ok := b.facts[Key{of: e.Of}]
 	return ok && !b.over[e.Of] && heard.fact.When().After(e.At)
 }
@@ -183,7 +183,7 @@
 }
 
 func (b *Book) drop(k Key) {
-	_, ended := b.facts[k].fact.(Ended)
+	_, ended := b.facts[k].fact.(InstanceEnded)
 	delete(b.facts, k)
 	b.sum ^= k.sum()
 	if !ended {
--- a/internal/coordination/quarantine/facts.go
+++ b/internal/coordination/quarantine/facts.go
@@ -15,9 +15,9 @@
 	When() time.Time
 }
 
-// Ended says that an instance ended while a request was there. It does not say that the request
+// InstanceEnded says that an instance ended while a request was there. It does not say that the request
 // is to blame: others may have been there too.
-type Ended struct {
+type InstanceEnded struct {
 	Digest Digest
 	// Of is the instance's incarnation, and Address where it was. Where instances do not tell when
 	// they started, its start is the time of the end in Unix milliseconds, below 0.
@@ -48,7 +48,7 @@
 }
 
 // Key returns the request and the incarnation.
-func (f Ended) Key() Key { return Key{f.Digest, f.Of} }
+func (f InstanceEnded) Key() Key { return Key{f.Digest, f.Of} }
 
 // Key returns the request.
 func (f Answered) Key() Key { return Key{digest: f.Digest} }
@@ -57,7 +57,7 @@
 func (f Heard) Key() Key { return Key{of: f.Of} }
 
 // When returns when the end was seen.
-func (f Ended) When() time.Time { return f.At }
+func (f InstanceEnded) When() time.Time { return f.At }
 
 // When returns when the answer was whole.
 func (f Answered) When() time.Time { return f.At }
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -195,10 +195,10 @@
 
 // standing returns the ends that count against a request: those since its last good answer, of
 // incarnations that were not heard since.
-func (b *Book) standing(d Digest, answered time.Time) []Ended {
-	var out []Ended
+func (b *Book) standing(d Digest, answered time.Time) []InstanceEnded {
+	var out []InstanceEnded
 	for _, k := range b.ends[d] {
-		e := b.facts[k].fact.(Ended)
+		e := b.facts[k].fact.(InstanceEnded)
 		if !b.refuted(e) && e.At.After(answered) {
 			out = append(out, e)
 		}
@@ -208,11 +208,11 @@
 
 // unexplained leaves out the ends of instances that also ended under another request which ends what runs
 // it, as far as is known: a popular request is at most of them.
-func (b *Book) unexplained(d Digest, ends []Ended, now time.Time) []Ended {
+func (b *Book) unexplained(d Digest, ends []InstanceEnded, now time.Time) []InstanceEnded {
 	if len(ends) < endsToHold {
 		return ends
 	}
-	return slices.DeleteFunc(slices.Clone(ends), func(e Ended) bool {
+	return slices.DeleteFunc(slices.Clone(ends), func(e InstanceEnded) bool {
 		for other := range b.ends {
 			if other != d && b.facts[Key{digest: other, of: e.Of}] != nil && b.isDeadly(other, now) {
 				return true
@@ -234,8 +234,8 @@
 
 // rounds returns how many ends followed one another: the largest number of which each request
 // was sent after the instance before had ended. Those that came at once may have one cause.
-func rounds(ends []Ended) int {
-	slices.SortFunc(ends, func(x, y Ended) int { return x.At.Compare(y.At) })
+func rounds(ends []InstanceEnded) int {
+	slices.SortFunc(ends, func(x, y InstanceEnded) int { return x.At.Compare(y.At) })
 	n := 0
 	var last time.Time
 	for _, e := range ends {
--- a/internal/protocol/wire/facts.go
+++ b/internal/protocol/wire/facts.go
@@ -13,7 +13,7 @@
 	for _, f := range facts {
 		m := &RequestFact{AgeMilliseconds: age(f.When(), now)}
 		switch f := f.(type) {
-		case quarantine.Ended:
+		case quarantine.InstanceEnded:
 			m.Kind = RequestFact_ENDED
 			m.Digest = f.Digest[:]
 			m.Instance, m.Start = f.Of.ID, int64(f.Of.Start)
@@ -49,7 +49,7 @@
 	switch {
 	case m.Kind == RequestFact_ENDED && named && m.Instance != "":
 		sent := before(now, max(m.SentAgeMilliseconds, m.AgeMilliseconds))
-		return quarantine.Ended{Digest: quarantine.Digest(m.Digest), Of: of, Address: m.Address, Sent: sent, At: at}, true
+		return quarantine.InstanceEnded{Digest: quarantine.Digest(m.Digest), Of: of, Address: m.Address, Sent: sent, At: at}, true
 	case m.Kind == RequestFact_ANSWERED && named:
 		return quarantine.Answered{Digest: quarantine.Digest(m.Digest), At: at}, true
 	case m.Kind == RequestFact_HEARD && m.Instance != "":
--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -225,7 +225,7 @@
 	if t.NoStartTimes {
 		of.Start = -registry.Start(at.UnixMilli())
 	}
-	fact := quarantine.Ended{Digest: a.Digest, Of: of, Address: a.To.Address, Sent: a.Sent, At: at}
+	fact := quarantine.InstanceEnded{Digest: a.Digest, Of: of, Address: a.To.Address, Sent: a.Sent, At: at}
 	if !t.take(fact, origin{at: at}) {
 		return
 	}
--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -55,13 +55,13 @@
 	now := clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var ends []quarantine.Ended
+	var ends []quarantine.InstanceEnded
 	for _, f := range facts {
 		if !t.take(f, origin{from: from, at: now}) {
 			continue
 		}
 		t.Metrics.hear(f)
-		end, ok := f.(quarantine.Ended)
+		end, ok := f.(quarantine.InstanceEnded)
 		if !ok {
 			continue
 		}
@@ -75,7 +75,7 @@
 
 // logHeard logs the ends that were heard of in one message: each by itself, or their number when
 // there are many, as when a failure domain was lost. Whoever saw an end names it in any case.
-func (t *Tracker) logHeard(from string, ends []quarantine.Ended, now time.Time) {
+func (t *Tracker) logHeard(from string, ends []quarantine.InstanceEnded, now time.Time) {
 	if len(ends) <= mostNamed {
 		for _, end := range ends {
 			t.Log.Info().Str("event", "instance_end_heard").Str("digest", end.Digest.String()).Str("instance", end.Of.ID).Int64("start", int64(end.Of.Start)).
--- a/internal/transport/ends/metrics.go
+++ b/internal/transport/ends/metrics.go
@@ -39,7 +39,7 @@
 func (m *Metrics) hear(f quarantine.Fact) {
 	kind := ""
 	switch f.(type) {
-	case quarantine.Ended:
+	case quarantine.InstanceEnded:
 		kind = "ended"
 	case quarantine.Answered:
 		kind = "answered"
