--- a/internal/coordination/quarantine/facts.go
+++ b/internal/coordination/quarantine/facts.go
@@ -27,8 +27,8 @@
 	Sent, At time.Time
 }
 
-// Answered says that an instance ran a request to a good end.
-type Answered struct {
+// RequestSucceeded says that an instance ran a request to a good end.
+type RequestSucceeded struct {
 	Digest Digest
 	At     time.Time
 }
@@ -51,7 +51,7 @@
 func (f InstanceEnded) Key() Key { return Key{f.Digest, f.Of} }
 
 // Key returns the request.
-func (f Answered) Key() Key { return Key{digest: f.Digest} }
+func (f RequestSucceeded) Key() Key { return Key{digest: f.Digest} }
 
 // Key returns the incarnation.
 func (f Heard) Key() Key { return Key{of: f.Of} }
@@ -60,7 +60,7 @@
 func (f InstanceEnded) When() time.Time { return f.At }
 
 // When returns when the answer was whole.
-func (f Answered) When() time.Time { return f.At }
+func (f RequestSucceeded) When() time.Time { return f.At }
 
 // When returns when what it answered was sent.
 func (f Heard) When() time.Time { return f.At }
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -153,7 +153,7 @@
 }
 
 func answered(seconds float64) quarantine.Fact {
-	return quarantine.Answered{Digest: digestOf(1), At: at(seconds)}
+	return quarantine.RequestSucceeded{Digest: digestOf(1), At: at(seconds)}
 }
 
 func TestVerdicts(t *testing.T) {
--- a/internal/coordination/quarantine/replay_test.go
+++ b/internal/coordination/quarantine/replay_test.go
@@ -265,7 +265,7 @@
 	r.served++
 	e.answered[x.r.digest] = r.now
 	if e.Suspects(x.r.digest) {
-		r.tell(e, quarantine.Answered{Digest: x.r.digest, At: r.now})
+		r.tell(e, quarantine.RequestSucceeded{Digest: x.r.digest, At: r.now})
 	}
 	if e.Doubts(x.of) {
 		r.tell(e, quarantine.Heard{Of: x.of, At: x.sent})
@@ -320,7 +320,7 @@
 		return
 	}
 	if at, known := e.answered[end.Digest]; known {
-		r.tell(e, quarantine.Answered{Digest: end.Digest, At: at})
+		r.tell(e, quarantine.RequestSucceeded{Digest: end.Digest, At: at})
 	}
 }
 
--- a/internal/protocol/wire/facts.go
+++ b/internal/protocol/wire/facts.go
@@ -19,7 +19,7 @@
 			m.Instance, m.Start = f.Of.ID, int64(f.Of.Start)
 			m.Address = f.Address
 			m.SentAgeMilliseconds = age(f.Sent, now)
-		case quarantine.Answered:
+		case quarantine.RequestSucceeded:
 			m.Kind = RequestFact_ANSWERED
 			m.Digest = f.Digest[:]
 		case quarantine.Heard:
@@ -51,7 +51,7 @@
 		sent := before(now, max(m.SentAgeMilliseconds, m.AgeMilliseconds))
 		return quarantine.InstanceEnded{Digest: quarantine.Digest(m.Digest), Of: of, Address: m.Address, Sent: sent, At: at}, true
 	case m.Kind == RequestFact_ANSWERED && named:
-		return quarantine.Answered{Digest: quarantine.Digest(m.Digest), At: at}, true
+		return quarantine.RequestSucceeded{Digest: quarantine.Digest(m.Digest), At: at}, true
 	case m.Kind == RequestFact_HEARD && m.Instance != "":
 		return quarantine.Heard{Of: of, At: at}, true
 	}
--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -243,7 +243,7 @@
 	defer t.mu.Unlock()
 	t.remember(a.Digest, now)
 	if t.book.Suspects(a.Digest) {
-		t.take(quarantine.Answered{Digest: a.Digest, At: now}, origin{at: now})
+		t.take(quarantine.RequestSucceeded{Digest: a.Digest, At: now}, origin{at: now})
 	}
 	t.heard(a, now)
 }
--- a/internal/transport/ends/ends_test.go
+++ b/internal/transport/ends/ends_test.go
@@ -109,7 +109,7 @@
 	told := ends.NewReceiverState()
 	await.Until(t, 20*time.Second, "the answer is told", func() bool {
 		for _, f := range tracker.Unsent(told) {
-			if _, ok := f.(quarantine.Answered); ok {
+			if _, ok := f.(quarantine.RequestSucceeded); ok {
 				return true
 			}
 		}
--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -67,7 +67,7 @@
 		}
 		ends = append(ends, end)
 		if at, known := t.answered[end.Digest]; known {
-			t.take(quarantine.Answered{Digest: end.Digest, At: at}, origin{at: now})
+			t.take(quarantine.RequestSucceeded{Digest: end.Digest, At: at}, origin{at: now})
 		}
 	}
 	t.logHeard(from, ends, now)
--- a/internal/transport/ends/metrics.go
+++ b/internal/transport/ends/metrics.go
@@ -41,7 +41,7 @@
 	switch f.(type) {
 	case quarantine.InstanceEnded:
 		kind = "ended"
-	case quarantine.Answered:
+	case quarantine.RequestSucceeded:
 		kind = "answered"
 	case quarantine.Heard:
 		kind = "heard"
