--- a/internal/coordination/quarantine/facts.go
+++ b/internal/coordination/quarantine/facts.go
@@ -33,9 +33,9 @@
 	At     time.Time
 }
 
-// Heard says that an incarnation answered what was sent to it at a time, though it had been taken
+// InstanceResponded says that an incarnation answered what was sent to it at a time, though it had been taken
 // for ended before.
-type Heard struct {
+type InstanceResponded struct {
 	Of registry.Incarnation
 	At time.Time
 }
@@ -54,7 +54,7 @@
 func (f RequestSucceeded) Key() Key { return Key{digest: f.Digest} }
 
 // Key returns the incarnation.
-func (f Heard) Key() Key { return Key{of: f.Of} }
+func (f InstanceResponded) Key() Key { return Key{of: f.Of} }
 
 // When returns when the end was seen.
 func (f InstanceEnded) When() time.Time { return f.At }
@@ -63,4 +63,4 @@
 func (f RequestSucceeded) When() time.Time { return f.At }
 
 // When returns when what it answered was sent.
-func (f Heard) When() time.Time { return f.At }
+func (f InstanceResponded) When() time.Time { return f.At }
--- a/internal/protocol/wire/facts.go
+++ b/internal/protocol/wire/facts.go
@@ -22,7 +22,7 @@
 		case quarantine.RequestSucceeded:
 			m.Kind = RequestFact_ANSWERED
 			m.Digest = f.Digest[:]
-		case quarantine.Heard:
+		case quarantine.InstanceResponded:
 			m.Kind = RequestFact_HEARD
 			m.Instance, m.Start = f.Of.ID, int64(f.Of.Start)
 		}
@@ -53,7 +53,7 @@
 	case m.Kind == RequestFact_ANSWERED && named:
 		return quarantine.RequestSucceeded{Digest: quarantine.Digest(m.Digest), At: at}, true
 	case m.Kind == RequestFact_HEARD && m.Instance != "":
-		return quarantine.Heard{Of: of, At: at}, true
+		return quarantine.InstanceResponded{Of: of, At: at}, true
 	}
 	return nil, false
 }
--- a/internal/transport/ends/metrics.go
+++ b/internal/transport/ends/metrics.go
@@ -43,7 +43,7 @@
 		kind = "ended"
 	case quarantine.RequestSucceeded:
 		kind = "answered"
-	case quarantine.Heard:
+	case quarantine.InstanceResponded:
 		kind = "heard"
 	default:
 		panic("ends: fact outside the sealed set")
