--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -83,12 +83,12 @@
 // after an end had been seen ran in another life.
 func (b *Book) toldOtherwise(fact Fact) bool {
 	end, ok := fact.(InstanceEnded)
-	if !ok || end.Of.Start >= 0 {
+	if !ok || end.Incarnation.Start >= 0 {
 		return false
 	}
 	return slices.ContainsFunc(b.ends[end.Digest], func(k Key) bool {
 		other := b.facts[k].fact.(InstanceEnded)
-		return k.of != end.Of && k.of.ID == end.Of.ID && k.of.Start < 0 && !end.Sent.After(other.At) && !other.Sent.After(end.At)
+		return k.of != end.Incarnation && k.of.ID == end.Incarnation.ID && k.of.Start < 0 && !end.Sent.After(other.At) && !other.Sent.After(end.At)
 	})
 }
 
@@ -138,7 +138,7 @@
 func (b *Book) Doubted() []InstanceEnded {
 	var out []InstanceEnded
 	for _, e := range b.facts {
-		if end, ok := e.fact.(InstanceEnded); ok && !b.over[end.Of] {
+		if end, ok := e.fact.(InstanceEnded); ok && !b.over[end.Incarnation] {
 			out = append(out, end)
 		}
 	}
@@ -155,8 +155,8 @@
 // refuted reports whether the instance answered what was sent to it after its end was seen, as
 // one does whose connections were refused by something between.
 func (b *Book) refuted(e InstanceEnded) bool {
-	heard, ok := b.facts[Key{of: e.Of}]
-	return ok && !b.over[e.Of] && heard.fact.When().After(e.At)
+	heard, ok := b.facts[Key{of: e.Incarnation}]
+	return ok && !b.over[e.Incarnation] && heard.fact.When().After(e.At)
 }
 
 // Sweep forgets what is old and concerns no request that is held.
--- a/internal/coordination/quarantine/book_test.go
+++ b/internal/coordination/quarantine/book_test.go
@@ -19,7 +19,7 @@
 		book := quarantine.New(b)
 		for n := range uint64(each) {
 			id := b*each + n
-			book.Take(quarantine.InstanceEnded{Digest: digestOf(id), Of: registry.Incarnation{ID: fmt.Sprint(id), Start: 1}, Sent: now, At: now.Add(time.Duration(id) * time.Millisecond)})
+			book.Take(quarantine.InstanceEnded{Digest: digestOf(id), Incarnation: registry.Incarnation{ID: fmt.Sprint(id), Start: 1}, Sent: now, At: now.Add(time.Duration(id) * time.Millisecond)})
 		}
 		all = append(all, book)
 	}
--- a/internal/coordination/quarantine/facts.go
+++ b/internal/coordination/quarantine/facts.go
@@ -19,10 +19,10 @@
 // is to blame: others may have been there too.
 type InstanceEnded struct {
 	Digest Digest
-	// Of is the instance's incarnation, and Address where it was. Where instances do not tell when
+	// Incarnation is the instance's incarnation, and Address where it was. Where instances do not tell when
 	// they started, its start is the time of the end in Unix milliseconds, below 0.
-	Of      registry.Incarnation
-	Address string
+	Incarnation registry.Incarnation
+	Address     string
 	// Sent is when the request was sent there, and At when the end was seen; Sent is not after At.
 	Sent, At time.Time
 }
@@ -48,7 +48,7 @@
 }
 
 // Key returns the request and the incarnation.
-func (f InstanceEnded) Key() Key { return Key{f.Digest, f.Of} }
+func (f InstanceEnded) Key() Key { return Key{f.Digest, f.Incarnation} }
 
 // Key returns the request.
 func (f RequestSucceeded) Key() Key { return Key{digest: f.Digest} }
--- a/internal/coordination/quarantine/mutants_test.go
+++ b/internal/coordination/quarantine/mutants_test.go
@@ -36,8 +36,8 @@
 // Take notes who was where.
 func (m allThere) Take(f quarantine.Fact) bool {
 	if e, ok := f.(quarantine.InstanceEnded); ok {
-		m.at[e.Of] = append(m.at[e.Of], e.Digest)
-		m.ended[e.Digest] = append(m.ended[e.Digest], e.Of)
+		m.at[e.Incarnation] = append(m.at[e.Incarnation], e.Digest)
+		m.ended[e.Digest] = append(m.ended[e.Digest], e.Incarnation)
 	}
 	return m.Book.Take(f)
 }
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -214,7 +214,7 @@
 	}
 	return slices.DeleteFunc(slices.Clone(ends), func(e InstanceEnded) bool {
 		for other := range b.ends {
-			if other != d && b.facts[Key{digest: other, of: e.Of}] != nil && b.isDeadly(other, now) {
+			if other != d && b.facts[Key{digest: other, of: e.Incarnation}] != nil && b.isDeadly(other, now) {
 				return true
 			}
 		}
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -149,7 +149,7 @@
 
 // end is an end of an instance under request 1, which was sent half a second before.
 func end(instance string, seconds float64) quarantine.Fact {
-	return quarantine.InstanceEnded{Digest: digestOf(1), Of: of(instance), Address: instance, Sent: at(seconds - 0.5), At: at(seconds)}
+	return quarantine.InstanceEnded{Digest: digestOf(1), Incarnation: of(instance), Address: instance, Sent: at(seconds - 0.5), At: at(seconds)}
 }
 
 func answered(seconds float64) quarantine.Fact {
@@ -246,7 +246,7 @@
 		b.Take(end(instance, float64(i)+1))
 	}
 	for n := range uint64(bodies) {
-		b.Take(quarantine.InstanceEnded{Digest: digestOf(n + 2), Of: of(fmt.Sprint(n)), Sent: at(3), At: at(3.1)})
+		b.Take(quarantine.InstanceEnded{Digest: digestOf(n + 2), Incarnation: of(fmt.Sprint(n)), Sent: at(3), At: at(3.1)})
 	}
 	if diff := cmp.Diff(mostFacts, b.Len()); diff != "" {
 		t.Error("facts: " + diff)
@@ -260,7 +260,7 @@
 // pause.
 func TestOldFactsAreForgotten(t *testing.T) {
 	b := quarantine.New(0)
-	b.Take(quarantine.InstanceEnded{Digest: digestOf(2), Of: of("x"), Sent: at(0), At: at(1)})
+	b.Take(quarantine.InstanceEnded{Digest: digestOf(2), Incarnation: of("x"), Sent: at(0), At: at(1)})
 	for i, instance := range []string{"a", "b", "c"} {
 		b.Take(end(instance, float64(i)+1))
 	}
@@ -286,7 +286,7 @@
 			b.Take(end(instance, float64(n+1)))
 		}
 		for n, instance := range both {
-			b.Take(quarantine.InstanceEnded{Digest: digestOf(deadly), Of: of(instance), Address: instance, Sent: at(float64(n) + 0.5), At: at(float64(n + 1))})
+			b.Take(quarantine.InstanceEnded{Digest: digestOf(deadly), Incarnation: of(instance), Address: instance, Sent: at(float64(n) + 0.5), At: at(float64(n + 1))})
 		}
 		return []bool{b.Case(digestOf(popular), 8, at(10)).Held, b.Case(digestOf(deadly), 8, at(10)).Held}
 	}
--- a/internal/coordination/quarantine/replay_test.go
+++ b/internal/coordination/quarantine/replay_test.go
@@ -295,7 +295,7 @@
 	q := x.r
 	q.entry.Done(q.digest)
 	if ended || r.closedIsEnd {
-		r.tell(q.entry, quarantine.InstanceEnded{Digest: q.digest, Of: x.of, Address: x.at.Address, Sent: x.sent, At: r.now})
+		r.tell(q.entry, quarantine.InstanceEnded{Digest: q.digest, Incarnation: x.of, Address: x.at.Address, Sent: x.sent, At: r.now})
 	}
 	r.attempt(q)
 }
--- a/internal/protocol/wire/facts.go
+++ b/internal/protocol/wire/facts.go
@@ -16,7 +16,7 @@
 		case quarantine.InstanceEnded:
 			m.Kind = RequestFact_ENDED
 			m.Digest = f.Digest[:]
-			m.Instance, m.Start = f.Of.ID, int64(f.Of.Start)
+			m.Instance, m.Start = f.Incarnation.ID, int64(f.Incarnation.Start)
 			m.Address = f.Address
 			m.SentAgeMilliseconds = age(f.Sent, now)
 		case quarantine.RequestSucceeded:
@@ -49,7 +49,7 @@
 	switch {
 	case m.Kind == RequestFact_ENDED && named && m.Instance != "":
 		sent := before(now, max(m.SentAgeMilliseconds, m.AgeMilliseconds))
-		return quarantine.InstanceEnded{Digest: quarantine.Digest(m.Digest), Of: of, Address: m.Address, Sent: sent, At: at}, true
+		return quarantine.InstanceEnded{Digest: quarantine.Digest(m.Digest), Incarnation: of, Address: m.Address, Sent: sent, At: at}, true
 	case m.Kind == RequestFact_ANSWERED && named:
 		return quarantine.RequestSucceeded{Digest: quarantine.Digest(m.Digest), At: at}, true
 	case m.Kind == RequestFact_HEARD && m.Instance != "":
--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -225,7 +225,7 @@
 	if t.NoStartTimes {
 		of.Start = -registry.Start(at.UnixMilli())
 	}
-	fact := quarantine.InstanceEnded{Digest: a.Digest, Of: of, Address: a.To.Address, Sent: a.Sent, At: at}
+	fact := quarantine.InstanceEnded{Digest: a.Digest, Incarnation: of, Address: a.To.Address, Sent: a.Sent, At: at}
 	if !t.take(fact, origin{at: at}) {
 		return
 	}
@@ -292,8 +292,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.book.Doubted() {
-		if superseded(registry.Instance{ID: e.Of.ID, Start: e.Of.Start, Address: e.Address}) {
-			t.book.Over(e.Of)
+		if superseded(registry.Instance{ID: e.Incarnation.ID, Start: e.Incarnation.Start, Address: e.Address}) {
+			t.book.Over(e.Incarnation)
 		}
 	}
 }
--- a/internal/transport/ends/ends_test.go
+++ b/internal/transport/ends/ends_test.go
@@ -105,7 +105,7 @@
 	tracker := newTracker()
 	tracker.RecordSuccess(attempt(1, "a"))
 	now := time.Now()
-	tracker.Merge("other", []quarantine.Fact{quarantine.InstanceEnded{Digest: digest(1), Of: registry.Incarnation{ID: "b", Start: 1}, Sent: now, At: now}})
+	tracker.Merge("other", []quarantine.Fact{quarantine.InstanceEnded{Digest: digest(1), Incarnation: registry.Incarnation{ID: "b", Start: 1}, Sent: now, At: now}})
 	told := ends.NewReceiverState()
 	await.Until(t, 20*time.Second, "the answer is told", func() bool {
 		for _, f := range tracker.Unsent(told) {
@@ -232,7 +232,7 @@
 func TestSizeOfAFact(t *testing.T) {
 	const most = 90
 	now := time.Now()
-	fact := quarantine.InstanceEnded{Digest: digest(1), Of: registry.Incarnation{ID: "i-4ff39ac445", Start: registry.Start(now.UnixMilli())}, Address: "10.128.64.24:8225", Sent: now, At: now}
+	fact := quarantine.InstanceEnded{Digest: digest(1), Incarnation: registry.Incarnation{ID: "i-4ff39ac445", Start: registry.Start(now.UnixMilli())}, Address: "10.128.64.24:8225", Sent: now, At: now}
 	size := proto.Size(&wire.TellRequest{Facts: wire.FromFacts([]quarantine.Fact{fact}, now.Add(time.Hour))})
 	t.Logf("%d bytes", size)
 	if size > most {
--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -78,7 +78,7 @@
 func (t *Tracker) logHeard(from string, ends []quarantine.InstanceEnded, now time.Time) {
 	if len(ends) <= mostNamed {
 		for _, end := range ends {
-			t.Log.Info().Str("event", "instance_end_heard").Str("digest", end.Digest.String()).Str("instance", end.Of.ID).Int64("start", int64(end.Of.Start)).
+			t.Log.Info().Str("event", "instance_end_heard").Str("digest", end.Digest.String()).Str("instance", end.Incarnation.ID).Int64("start", int64(end.Incarnation.Start)).
 				Str("from", from).Dur("age_ms", now.Sub(end.At)).Msg("")
 		}
 		return
--- a/internal/transport/ends/lines_test.go
+++ b/internal/transport/ends/lines_test.go
@@ -37,7 +37,7 @@
 	tracker.Log = &log.Logger{Writer: log.IOWriter{Writer: told}}
 	ended := func(n int) quarantine.Fact {
 		of := registry.Incarnation{ID: fmt.Sprint("i", n), Start: 1}
-		return quarantine.InstanceEnded{Digest: digest(n), Of: of, Address: "at " + of.ID, Sent: time.Now(), At: time.Now()}
+		return quarantine.InstanceEnded{Digest: digest(n), Incarnation: of, Address: "at " + of.ID, Sent: time.Now(), At: time.Now()}
 	}
 	var facts []quarantine.Fact
 	for n := range 250 {
--- a/internal/transport/fleet/facts_test.go
+++ b/internal/transport/fleet/facts_test.go
@@ -122,7 +122,7 @@
 	first := fleet.NewSource(life, heartbeat, quiet)
 	first.Remember(life, path)
 	now := time.Now()
-	facts := []quarantine.Fact{quarantine.InstanceEnded{Digest: deadlyRequest, Of: registry.Incarnation{ID: "i-1", Start: 1}, Address: "at i-1", Sent: now, At: now}}
+	facts := []quarantine.Fact{quarantine.InstanceEnded{Digest: deadlyRequest, Incarnation: registry.Incarnation{ID: "i-1", Start: 1}, Address: "at i-1", Sent: now, At: now}}
 	_, err := first.Tell(t.Context(), &wire.TellRequest{Facts: wire.FromFacts(facts, now)})
 	if err != nil {
 		t.Fatal(err)
