--- a/internal/coordination/quarantine/facts.go
+++ b/internal/coordination/quarantine/facts.go
@@ -36,8 +36,8 @@
 // InstanceResponded says that an incarnation answered what was sent to it at a time, though it had been taken
 // for ended before.
 type InstanceResponded struct {
-	Of registry.Incarnation
-	At time.Time
+	Incarnation registry.Incarnation
+	At          time.Time
 }
 
 // Key names what a fact is about; of two facts with the same key one is kept. A request's good
@@ -54,7 +54,7 @@
 func (f RequestSucceeded) Key() Key { return Key{digest: f.Digest} }
 
 // Key returns the incarnation.
-func (f InstanceResponded) Key() Key { return Key{of: f.Of} }
+func (f InstanceResponded) Key() Key { return Key{of: f.Incarnation} }
 
 // When returns when the end was seen.
 func (f InstanceEnded) When() time.Time { return f.At }
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -180,8 +180,8 @@
 		{"a good answer between", []quarantine.Fact{end("a", 1), end("b", 2), answered(2.5), end("c", 3)}, 1, nil, 4, "send"},
 		{"many at once, of a harmless one", []quarantine.Fact{answered(0), end("a", 1), end("b", 1), end("c", 1), end("d", 1)}, 1, nil, 2, "send"},
 		{"three in a row, once harmless", []quarantine.Fact{answered(0), end("a", 1), end("b", 2), end("c", 3)}, 0, nil, 4, "hold 1m39s ended"},
-		{"one of three was heard since", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3), quarantine.InstanceResponded{Of: of("a"), At: at(3.5)}}, 0, nil, 4, "alone"},
-		{"another one was heard in its place", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3), quarantine.InstanceResponded{Of: of("a"), At: at(3.5)}}, 0, []string{"a"}, 4, "hold 1m39s ended"},
+		{"one of three was heard since", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3), quarantine.InstanceResponded{Incarnation: of("a"), At: at(3.5)}}, 0, nil, 4, "alone"},
+		{"another one was heard in its place", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3), quarantine.InstanceResponded{Incarnation: of("a"), At: at(3.5)}}, 0, []string{"a"}, 4, "hold 1m39s ended"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -220,7 +220,7 @@
 
 // In whichever order facts come, and how often, the same follows.
 func TestOrderOfFactsMakesNoDifference(t *testing.T) {
-	facts := []quarantine.Fact{answered(0), end("a", 1), end("b", 2), quarantine.InstanceResponded{Of: of("d"), At: at(3)}, end("c", 3), end("d", 2.5)}
+	facts := []quarantine.Fact{answered(0), end("a", 1), end("b", 2), quarantine.InstanceResponded{Incarnation: of("d"), At: at(3)}, end("c", 3), end("d", 2.5)}
 	var want quarantine.Case
 	for turn := range facts {
 		b := quarantine.New(0)
--- a/internal/coordination/quarantine/replay_test.go
+++ b/internal/coordination/quarantine/replay_test.go
@@ -268,7 +268,7 @@
 		r.tell(e, quarantine.RequestSucceeded{Digest: x.r.digest, At: r.now})
 	}
 	if e.Doubts(x.of) {
-		r.tell(e, quarantine.InstanceResponded{Of: x.of, At: x.sent})
+		r.tell(e, quarantine.InstanceResponded{Incarnation: x.of, At: x.sent})
 	}
 }
 
--- a/internal/protocol/wire/facts.go
+++ b/internal/protocol/wire/facts.go
@@ -24,7 +24,7 @@
 			m.Digest = f.Digest[:]
 		case quarantine.InstanceResponded:
 			m.Kind = RequestFact_HEARD
-			m.Instance, m.Start = f.Of.ID, int64(f.Of.Start)
+			m.Instance, m.Start = f.Incarnation.ID, int64(f.Incarnation.Start)
 		}
 		out = append(out, m)
 	}
@@ -53,7 +53,7 @@
 	case m.Kind == RequestFact_ANSWERED && named:
 		return quarantine.RequestSucceeded{Digest: quarantine.Digest(m.Digest), At: at}, true
 	case m.Kind == RequestFact_HEARD && m.Instance != "":
-		return quarantine.InstanceResponded{Of: of, At: at}, true
+		return quarantine.InstanceResponded{Incarnation: of, At: at}, true
 	}
 	return nil, false
 }
