--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -12,8 +12,8 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// Book holds the facts. Make one with New. It is not safe for concurrent use.
-type Book struct {
+// FactSet holds the facts. Make one with New. It is not safe for concurrent use.
+type FactSet struct {
 	// seed gives the turns of different entries.
 	seed uint64
 	// facts holds at most mostFacts facts, by what they are about.
@@ -41,8 +41,8 @@
 }
 
 // New returns a book without facts.
-func New(seed uint64) *Book {
-	b := &Book{
+func New(seed uint64) *FactSet {
+	b := &FactSet{
 		seed: seed, facts: map[Key]*entry{}, ends: map[Digest][]Key{}, ended: map[registry.Incarnation]int{},
 		over: map[registry.Incarnation]bool{}, running: map[Digest]int{}, tried: map[Digest]time.Time{},
 	}
@@ -56,7 +56,7 @@
 }
 
 // Take joins a fact; it reports whether that was news.
-func (b *Book) Take(fact Fact) bool {
+func (b *FactSet) Take(fact Fact) bool {
 	k := fact.Key()
 	known, ok := b.facts[k]
 	if ok && !b.replaces(fact, known.fact) || b.toldOtherwise(fact) {
@@ -81,7 +81,7 @@
 // toldOtherwise reports whether an end is known under another name: where instances do not tell
 // when they started, each entry that sees an end names the incarnation by itself. What was sent
 // after an end had been seen ran in another life.
-func (b *Book) toldOtherwise(fact Fact) bool {
+func (b *FactSet) toldOtherwise(fact Fact) bool {
 	end, ok := fact.(InstanceEnded)
 	if !ok || end.Incarnation.Start >= 0 {
 		return false
@@ -94,7 +94,7 @@
 
 // replaces reports whether a fact is to be kept in place of an older one of its key. Of an end
 // the first report is kept, unless it was refuted since: whoever sees it later has a slower sign.
-func (b *Book) replaces(newer, older Fact) bool {
+func (b *FactSet) replaces(newer, older Fact) bool {
 	if e, ended := older.(InstanceEnded); ended {
 		return b.refuted(e) && newer.When().After(e.At)
 	}
@@ -102,10 +102,10 @@
 }
 
 // Change returns the number of the newest change.
-func (b *Book) Change() uint64 { return b.log.Last() }
+func (b *FactSet) Change() uint64 { return b.log.Last() }
 
 // After lists the facts that changed after a change, by their changes, the oldest first.
-func (b *Book) After(change uint64) iter.Seq2[uint64, Fact] {
+func (b *FactSet) After(change uint64) iter.Seq2[uint64, Fact] {
 	return func(yield func(uint64, Fact) bool) {
 		for number, k := range b.log.After(change) {
 			if !yield(number, b.facts[k].fact) {
@@ -117,7 +117,7 @@
 
 // Since returns up to so many facts that changed after a change, in the order of their changes,
 // and the number of the last of these changes.
-func (b *Book) Since(change uint64, most int) (facts []Fact, last uint64) {
+func (b *FactSet) Since(change uint64, most int) (facts []Fact, last uint64) {
 	for number, f := range b.After(change) {
 		if len(facts) == most {
 			return facts, last
@@ -129,13 +129,13 @@
 }
 
 // Suspects reports whether any end counts against a request.
-func (b *Book) Suspects(d Digest) bool { return len(b.ends[d]) > 0 }
+func (b *FactSet) Suspects(d Digest) bool { return len(b.ends[d]) > 0 }
 
 // Doubts reports whether an incarnation is taken for ended, which is not certain.
-func (b *Book) Doubts(of registry.Incarnation) bool { return b.ended[of] > 0 && !b.over[of] }
+func (b *FactSet) Doubts(of registry.Incarnation) bool { return b.ended[of] > 0 && !b.over[of] }
 
 // Doubted returns the ends of which it is not certain that the instance has ended.
-func (b *Book) Doubted() []InstanceEnded {
+func (b *FactSet) Doubted() []InstanceEnded {
 	var out []InstanceEnded
 	for _, e := range b.facts {
 		if end, ok := e.fact.(InstanceEnded); ok && !b.over[end.Incarnation] {
@@ -146,7 +146,7 @@
 }
 
 // Over notes that an incarnation has ended for certain: another one has its id or its address.
-func (b *Book) Over(of registry.Incarnation) {
+func (b *FactSet) Over(of registry.Incarnation) {
 	if b.ended[of] > 0 {
 		b.over[of] = true
 	}
@@ -154,13 +154,13 @@
 
 // refuted reports whether the instance answered what was sent to it after its end was seen, as
 // one does whose connections were refused by something between.
-func (b *Book) refuted(e InstanceEnded) bool {
+func (b *FactSet) refuted(e InstanceEnded) bool {
 	heard, ok := b.facts[Key{of: e.Incarnation}]
 	return ok && !b.over[e.Incarnation] && heard.fact.When().After(e.At)
 }
 
 // Sweep forgets what is old and concerns no request that is held.
-func (b *Book) Sweep(entries int, now time.Time) {
+func (b *FactSet) Sweep(entries int, now time.Time) {
 	for k, e := range b.facts {
 		if now.Sub(e.fact.When()) > factLife && !b.keeps(k, entries, now) {
 			b.drop(k)
@@ -174,7 +174,7 @@
 }
 
 // keeps reports whether a fact is an end of a request whose pause is not over for long.
-func (b *Book) keeps(k Key, entries int, now time.Time) bool {
+func (b *FactSet) keeps(k Key, entries int, now time.Time) bool {
 	if k.digest == (Digest{}) {
 		return false
 	}
@@ -182,7 +182,7 @@
 	return c.Held && now.Sub(c.Until) < factLife
 }
 
-func (b *Book) drop(k Key) {
+func (b *FactSet) drop(k Key) {
 	_, ended := b.facts[k].fact.(InstanceEnded)
 	delete(b.facts, k)
 	b.sum ^= k.sum()
@@ -206,7 +206,7 @@
 // instance each drives out no request that is held. A fact that is not much newer is not taken
 // in its place, unless it is of a request that is suspected: of more facts than books hold, each
 // would drop what another one tells it again, and so on.
-func (b *Book) makeRoom(fact Fact) bool {
+func (b *FactSet) makeRoom(fact Fact) bool {
 	var oldest Key
 	var at time.Time
 	few := false
@@ -224,14 +224,14 @@
 }
 
 // Digest is the same for books that know of the same, whenever they learned it.
-func (b *Book) Digest() uint64 { return b.sum }
+func (b *FactSet) Digest() uint64 { return b.sum }
 
 func (k Key) sum() uint64 {
 	return xxhash.Sum64String(k.digest.String() + k.of.ID + strconv.FormatInt(int64(k.of.Start), 16))
 }
 
 // Holds reports whether a fact of a key is known, and Len how many facts are.
-func (b *Book) Holds(k Key) bool { return b.facts[k] != nil }
+func (b *FactSet) Holds(k Key) bool { return b.facts[k] != nil }
 
 // Len returns the number of facts.
-func (b *Book) Len() int { return len(b.facts) }
+func (b *FactSet) Len() int { return len(b.facts) }
--- a/internal/coordination/quarantine/book_test.go
+++ b/internal/coordination/quarantine/book_test.go
@@ -14,7 +14,7 @@
 func TestFullBooksComeToRest(t *testing.T) {
 	const books, each, turns = 6, 600, 20
 	now := time.Unix(1e9, 0)
-	var all []*quarantine.Book
+	var all []*quarantine.FactSet
 	for b := range uint64(books) {
 		book := quarantine.New(b)
 		for n := range uint64(each) {
--- a/internal/coordination/quarantine/mutants_test.go
+++ b/internal/coordination/quarantine/mutants_test.go
@@ -11,7 +11,7 @@
 const mutantPause = 4 * time.Second
 
 // oneEnd takes one end for proof.
-type oneEnd struct{ *quarantine.Book }
+type oneEnd struct{ *quarantine.FactSet }
 
 // Decide holds what an instance ended under.
 func (m oneEnd) Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict {
@@ -19,12 +19,12 @@
 	if left := c.LastEnd.Add(mutantPause).Sub(now); c.Ends > 0 && left > 0 {
 		return quarantine.Hold{RetryAfter: left, Ended: true}
 	}
-	return m.Book.Decide(d, entries, now)
+	return m.FactSet.Decide(d, entries, now)
 }
 
 // allThere takes all that was at the instances of a request that is held for as guilty as it is.
 type allThere struct {
-	*quarantine.Book
+	*quarantine.FactSet
 	at    map[registry.Incarnation][]quarantine.Digest
 	ended map[quarantine.Digest][]registry.Incarnation
 }
@@ -39,7 +39,7 @@
 		m.at[e.Incarnation] = append(m.at[e.Incarnation], e.Digest)
 		m.ended[e.Digest] = append(m.ended[e.Digest], e.Incarnation)
 	}
-	return m.Book.Take(f)
+	return m.FactSet.Take(f)
 }
 
 // Decide holds what was where a held request was.
@@ -51,5 +51,5 @@
 			}
 		}
 	}
-	return m.Book.Decide(d, entries, now)
+	return m.FactSet.Decide(d, entries, now)
 }
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -111,7 +111,7 @@
 }
 
 // Decide says whether an attempt may be sent now, while so many entries serve.
-func (b *Book) Decide(d Digest, entries int, now time.Time) Verdict {
+func (b *FactSet) Decide(d Digest, entries int, now time.Time) Verdict {
 	if !b.Suspects(d) {
 		return Send{}
 	}
@@ -133,7 +133,7 @@
 }
 
 // Counts returns how many requests are suspected and still sent, and how many are held.
-func (b *Book) Counts(entries int, now time.Time) (suspected, held int) {
+func (b *FactSet) Counts(entries int, now time.Time) (suspected, held int) {
 	for d := range b.ends {
 		switch c := b.Case(d, entries, now); {
 		case c.Held:
@@ -146,10 +146,10 @@
 }
 
 // Begin notes that an attempt is sent, and Done that it has ended.
-func (b *Book) Begin(d Digest) { b.running[d]++ }
+func (b *FactSet) Begin(d Digest) { b.running[d]++ }
 
 // Done notes the end of an attempt.
-func (b *Book) Done(d Digest) {
+func (b *FactSet) Done(d Digest) {
 	b.running[d]--
 	if b.running[d] <= 0 {
 		delete(b.running, d)
@@ -157,12 +157,12 @@
 }
 
 // sure reports whether a request was lately seen to be harmless.
-func (b *Book) sure(c Case, now time.Time) bool {
+func (b *FactSet) sure(c Case, now time.Time) bool {
 	return !c.Answered.IsZero() && now.Sub(c.Answered) < sureFor
 }
 
 // Case returns what is known of a request.
-func (b *Book) Case(d Digest, entries int, now time.Time) Case {
+func (b *FactSet) Case(d Digest, entries int, now time.Time) Case {
 	var c Case
 	if answered, ok := b.facts[Key{digest: d}]; ok {
 		c.Answered = answered.fact.When()
@@ -195,7 +195,7 @@
 
 // standing returns the ends that count against a request: those since its last good answer, of
 // incarnations that were not heard since.
-func (b *Book) standing(d Digest, answered time.Time) []InstanceEnded {
+func (b *FactSet) standing(d Digest, answered time.Time) []InstanceEnded {
 	var out []InstanceEnded
 	for _, k := range b.ends[d] {
 		e := b.facts[k].fact.(InstanceEnded)
@@ -208,7 +208,7 @@
 
 // unexplained leaves out the ends of instances that also ended under another request which ends what runs
 // it, as far as is known: a popular request is at most of them.
-func (b *Book) unexplained(d Digest, ends []InstanceEnded, now time.Time) []InstanceEnded {
+func (b *FactSet) unexplained(d Digest, ends []InstanceEnded, now time.Time) []InstanceEnded {
 	if len(ends) < endsToHold {
 		return ends
 	}
@@ -224,7 +224,7 @@
 
 // isDeadly reports whether a request ended as many instances as it takes to hold it, and did not lately
 // come to a good end.
-func (b *Book) isDeadly(d Digest, now time.Time) bool {
+func (b *FactSet) isDeadly(d Digest, now time.Time) bool {
 	var c Case
 	if answered, ok := b.facts[Key{digest: d}]; ok {
 		c.Answered = answered.fact.When()
@@ -258,7 +258,7 @@
 
 // hasTurn reports whether this entry may try a request now whose pause is over. Entries take
 // turns by a number that each draws for itself, counted from the last end, which all know.
-func (b *Book) hasTurn(d Digest, c Case, entries int, now time.Time) bool {
+func (b *FactSet) hasTurn(d Digest, c Case, entries int, now time.Time) bool {
 	cycle := min(turn*time.Duration(max(entries, 1)), mostTurns)
 	since := now.Sub(c.LastEnd.Add(pause(c.Rounds)))
 	if entries <= 1 || since >= turnRounds*cycle {
--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -73,7 +73,7 @@
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
-	book *quarantine.Book
+	book *quarantine.FactSet
 	// breaks are the attempts that broke off lately, of which it is not known whether the instance
 	// ended, the oldest first.
 	breaks []broken
--- a/internal/transport/fleet/source.go
+++ b/internal/transport/fleet/source.go
@@ -70,7 +70,7 @@
 	// loads holds what engines told of their load, while this control instance leads.
 	loads loadsFeed
 	// facts holds what entries told of ends of instances, which are passed on to all others.
-	facts *quarantine.Book
+	facts *quarantine.FactSet
 	// suspects holds what entries told of requests that failed, and failing the instances that fail
 	// by that.
 	suspects *suspects.Detector
