--- a/internal/coordination/quarantine/book_test.go
+++ b/internal/coordination/quarantine/book_test.go
@@ -19,7 +19,7 @@
 		book := quarantine.New(b)
 		for n := range uint64(each) {
 			id := b*each + n
-			book.Take(quarantine.InstanceEnded{Digest: digestOf(id), Incarnation: registry.Incarnation{ID: fmt.Sprint(id), Start: 1}, Sent: now, At: now.Add(time.Duration(id) * time.Millisecond)})
+			book.Merge(quarantine.InstanceEnded{Digest: digestOf(id), Incarnation: registry.Incarnation{ID: fmt.Sprint(id), Start: 1}, Sent: now, At: now.Add(time.Duration(id) * time.Millisecond)})
 		}
 		all = append(all, book)
 	}
@@ -30,7 +30,7 @@
 			facts, _ := from.Since(0, from.Len())
 			for _, to := range all {
 				for _, f := range facts {
-					if to.Take(f) {
+					if to.Merge(f) {
 						news++
 					}
 				}
--- a/internal/coordination/quarantine/mutants_test.go
+++ b/internal/coordination/quarantine/mutants_test.go
@@ -33,13 +33,13 @@
 	return allThere{quarantine.New(seed), map[registry.Incarnation][]quarantine.Digest{}, map[quarantine.Digest][]registry.Incarnation{}}
 }
 
-// Take notes who was where.
-func (m allThere) Take(f quarantine.Fact) bool {
+// Merge notes who was where.
+func (m allThere) Merge(f quarantine.Fact) bool {
 	if e, ok := f.(quarantine.InstanceEnded); ok {
 		m.at[e.Incarnation] = append(m.at[e.Incarnation], e.Digest)
 		m.ended[e.Digest] = append(m.ended[e.Digest], e.Incarnation)
 	}
-	return m.FactSet.Take(f)
+	return m.FactSet.Merge(f)
 }
 
 // Decide holds what was where a held request was.
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -187,7 +187,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := quarantine.New(0)
 			for _, f := range c.facts {
-				b.Take(f)
+				b.Merge(f)
 			}
 			for range c.running {
 				b.Begin(digestOf(1))
@@ -225,7 +225,7 @@
 	for turn := range facts {
 		b := quarantine.New(0)
 		for i := range 2 * len(facts) {
-			b.Take(facts[(turn+i)%len(facts)])
+			b.Merge(facts[(turn+i)%len(facts)])
 		}
 		got := b.Case(digestOf(1), 1, at(5))
 		if turn == 0 {
@@ -243,10 +243,10 @@
 	const bodies, mostFacts = 5_000, 1024
 	b := quarantine.New(0)
 	for i, instance := range []string{"a", "b", "c"} {
-		b.Take(end(instance, float64(i)+1))
+		b.Merge(end(instance, float64(i)+1))
 	}
 	for n := range uint64(bodies) {
-		b.Take(quarantine.InstanceEnded{Digest: digestOf(n + 2), Incarnation: of(fmt.Sprint(n)), Sent: at(3), At: at(3.1)})
+		b.Merge(quarantine.InstanceEnded{Digest: digestOf(n + 2), Incarnation: of(fmt.Sprint(n)), Sent: at(3), At: at(3.1)})
 	}
 	if diff := cmp.Diff(mostFacts, b.Len()); diff != "" {
 		t.Error("facts: " + diff)
@@ -260,9 +260,9 @@
 // pause.
 func TestOldFactsAreForgotten(t *testing.T) {
 	b := quarantine.New(0)
-	b.Take(quarantine.InstanceEnded{Digest: digestOf(2), Incarnation: of("x"), Sent: at(0), At: at(1)})
+	b.Merge(quarantine.InstanceEnded{Digest: digestOf(2), Incarnation: of("x"), Sent: at(0), At: at(1)})
 	for i, instance := range []string{"a", "b", "c"} {
-		b.Take(end(instance, float64(i)+1))
+		b.Merge(end(instance, float64(i)+1))
 	}
 	for _, c := range []struct {
 		after time.Duration
@@ -281,12 +281,12 @@
 	const popular, deadly = 1, 2
 	play := func(both, alone []string) []bool {
 		b := quarantine.New(1)
-		b.Take(answered(0))
+		b.Merge(answered(0))
 		for n, instance := range append(both, alone...) {
-			b.Take(end(instance, float64(n+1)))
+			b.Merge(end(instance, float64(n+1)))
 		}
 		for n, instance := range both {
-			b.Take(quarantine.InstanceEnded{Digest: digestOf(deadly), Incarnation: of(instance), Address: instance, Sent: at(float64(n) + 0.5), At: at(float64(n + 1))})
+			b.Merge(quarantine.InstanceEnded{Digest: digestOf(deadly), Incarnation: of(instance), Address: instance, Sent: at(float64(n) + 0.5), At: at(float64(n + 1))})
 		}
 		return []bool{b.Case(digestOf(popular), 8, at(10)).Held, b.Case(digestOf(deadly), 8, at(10)).Held}
 	}
--- a/internal/coordination/quarantine/replay_test.go
+++ b/internal/coordination/quarantine/replay_test.go
@@ -29,7 +29,7 @@
 // judge is what decides: a Book, or a mutant of it.
 type judge interface {
 	Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict
-	Take(quarantine.Fact) bool
+	Merge(quarantine.Fact) bool
 	Suspects(quarantine.Digest) bool
 	Doubts(registry.Incarnation) bool
 	Begin(quarantine.Digest)
@@ -302,7 +302,7 @@
 
 // tell joins a fact at an entry, and at all others somewhat later.
 func (r *replay) tell(e *replayEntry, f quarantine.Fact) {
-	if !e.Take(f) {
+	if !e.Merge(f) {
 		return
 	}
 	for _, other := range r.entries {
@@ -314,7 +314,7 @@
 }
 
 func (r *replay) hear(e *replayEntry, f quarantine.Fact) {
-	news := e.Take(f)
+	news := e.Merge(f)
 	end, ok := f.(quarantine.InstanceEnded)
 	if !news || !ok {
 		return
@@ -374,6 +374,6 @@
 	other := r.entries[(i+1)%len(r.entries)]
 	facts, _ := other.Since(0, other.Len())
 	for _, f := range facts {
-		e.Take(f)
+		e.Merge(f)
 	}
 }
