--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -97,8 +97,8 @@
 func (Alone) verdict() {}
 func (Hold) verdict()  {}
 
-// Case is what is known of one request. It is a plain value.
-type Case struct {
+// RequestStatus is what is known of one request. It is a plain value.
+type RequestStatus struct {
 	// Ends is how many distinct instances ended under it and count, and Rounds how many of these
 	// followed one another, each sent after the one before had ended.
 	Ends, Rounds int
@@ -157,13 +157,13 @@
 }
 
 // sure reports whether a request was lately seen to be harmless.
-func (b *FactSet) sure(c Case, now time.Time) bool {
+func (b *FactSet) sure(c RequestStatus, now time.Time) bool {
 	return !c.Answered.IsZero() && now.Sub(c.Answered) < sureFor
 }
 
 // Case returns what is known of a request.
-func (b *FactSet) Case(d Digest, entries int, now time.Time) Case {
-	var c Case
+func (b *FactSet) Case(d Digest, entries int, now time.Time) RequestStatus {
+	var c RequestStatus
 	if answered, ok := b.facts[Key{digest: d}]; ok {
 		c.Answered = answered.fact.When()
 	}
@@ -225,7 +225,7 @@
 // isDeadly reports whether a request ended as many instances as it takes to hold it, and did not lately
 // come to a good end.
 func (b *FactSet) isDeadly(d Digest, now time.Time) bool {
-	var c Case
+	var c RequestStatus
 	if answered, ok := b.facts[Key{digest: d}]; ok {
 		c.Answered = answered.fact.When()
 	}
@@ -258,7 +258,7 @@
 
 // hasTurn reports whether this entry may try a request now whose pause is over. Entries take
 // turns by a number that each draws for itself, counted from the last end, which all know.
-func (b *FactSet) hasTurn(d Digest, c Case, entries int, now time.Time) bool {
+func (b *FactSet) hasTurn(d Digest, c RequestStatus, entries int, now time.Time) bool {
 	cycle := min(turn*time.Duration(max(entries, 1)), mostTurns)
 	since := now.Sub(c.LastEnd.Add(pause(c.Rounds)))
 	if entries <= 1 || since >= turnRounds*cycle {
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -221,7 +221,7 @@
 // In whichever order facts come, and how often, the same follows.
 func TestOrderOfFactsMakesNoDifference(t *testing.T) {
 	facts := []quarantine.Fact{answered(0), end("a", 1), end("b", 2), quarantine.InstanceResponded{Incarnation: of("d"), At: at(3)}, end("c", 3), end("d", 2.5)}
-	var want quarantine.Case
+	var want quarantine.RequestStatus
 	for turn := range facts {
 		b := quarantine.New(0)
 		for i := range 2 * len(facts) {
--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -126,7 +126,7 @@
 
 // Begin says what becomes of an attempt at a request. Unless it is held, done must be called when
 // the attempt has ended.
-func (t *Tracker) Begin(d quarantine.Digest) (verdict quarantine.Verdict, known quarantine.Case, done func()) {
+func (t *Tracker) Begin(d quarantine.Digest) (verdict quarantine.Verdict, known quarantine.RequestStatus, done func()) {
 	t.init()
 	entries, now := t.Entries(), clock.Now()
 	t.mu.Lock()
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -98,7 +98,7 @@
 }
 
 // knownEnds adds to a line how many instances ended under the request, as far as is known.
-func knownEnds(line *log.Entry, c quarantine.Case) *log.Entry {
+func knownEnds(line *log.Entry, c quarantine.RequestStatus) *log.Entry {
 	if c.Ends == 0 {
 		return line
 	}
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -46,7 +46,7 @@
 	// digest names all requests that are the same; known is what was known of ends of instances
 	// under them when the last attempt was permitted or held, and done ends the permission.
 	digest quarantine.Digest
-	known  quarantine.Case
+	known  quarantine.RequestStatus
 	done   func()
 
 	version  uint64
