--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -74,8 +74,8 @@
 // Send says that nothing is held against the request.
 type Send struct{}
 
-// Alone says that the request may be sent, and no other of its digest until it has ended.
-type Alone struct{}
+// SendAlone says that the request may be sent, and no other of its digest until it has ended.
+type SendAlone struct{}
 
 // Hold says that the request must not be sent now.
 type Hold struct {
@@ -93,9 +93,9 @@
 	return outcome.ReasonUnderWay
 }
 
-func (Send) verdict()  {}
-func (Alone) verdict() {}
-func (Hold) verdict()  {}
+func (Send) verdict()      {}
+func (SendAlone) verdict() {}
+func (Hold) verdict()      {}
 
 // RequestStatus is what is known of one request. It is a plain value.
 type RequestStatus struct {
@@ -129,7 +129,7 @@
 	if c.Held {
 		b.tried[d] = now
 	}
-	return Alone{}
+	return SendAlone{}
 }
 
 // Counts returns how many requests are suspected and still sent, and how many are held.
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -206,7 +206,7 @@
 	switch v := v.(type) {
 	case quarantine.Send:
 		return "send"
-	case quarantine.Alone:
+	case quarantine.SendAlone:
 		return "alone"
 	case quarantine.Hold:
 		why := "under way"
