--- a/internal/coordination/quarantine/mutants_test.go
+++ b/internal/coordination/quarantine/mutants_test.go
@@ -17,7 +17,7 @@
 func (m oneEnd) Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict {
 	c := m.Case(d, entries, now)
 	if left := c.LastEnd.Add(mutantPause).Sub(now); c.Ends > 0 && left > 0 {
-		return quarantine.Hold{RetryAfter: left, Ended: true}
+		return quarantine.Hold{RetryAfter: left, EndsInstances: true}
 	}
 	return m.FactSet.Decide(d, entries, now)
 }
@@ -47,7 +47,7 @@
 	for _, of := range m.ended[d] {
 		for _, other := range m.at[of] {
 			if c := m.Case(other, entries, now); c.Held && now.Before(c.Until) {
-				return quarantine.Hold{RetryAfter: c.Until.Sub(now), Ended: true}
+				return quarantine.Hold{RetryAfter: c.Until.Sub(now), EndsInstances: true}
 			}
 		}
 	}
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -81,13 +81,13 @@
 type Hold struct {
 	// RetryAfter is when it may be tried again, above 0.
 	RetryAfter time.Duration
-	// Ended says that instances ended under it; else another one of its digest is under way.
-	Ended bool
+	// EndsInstances says that instances ended under it; else another one of its digest is under way.
+	EndsInstances bool
 }
 
 // Reason returns why, for callers, logs and metrics.
 func (h Hold) Reason() outcome.Reason {
-	if h.Ended {
+	if h.EndsInstances {
 		return outcome.ReasonEndsInstances
 	}
 	return outcome.ReasonUnderWay
@@ -120,11 +120,11 @@
 	case c.Ends == 0, !c.Held && b.sure(c, now):
 		return Send{}
 	case c.Held && (now.Before(c.Until) || !b.hasTurn(d, c, entries, now)):
-		return Hold{RetryAfter: max(c.Until.Sub(now), comeBackAfter), Ended: true}
+		return Hold{RetryAfter: max(c.Until.Sub(now), comeBackAfter), EndsInstances: true}
 	case !c.Held && c.Ends == endsToHold-1 && now.Sub(c.LastEnd) < othersTime:
-		return Hold{RetryAfter: max(c.LastEnd.Add(othersTime).Sub(now), comeBackAfter), Ended: true}
+		return Hold{RetryAfter: max(c.LastEnd.Add(othersTime).Sub(now), comeBackAfter), EndsInstances: true}
 	case b.running[d] > 0:
-		return Hold{RetryAfter: comeBackAfter, Ended: c.Held}
+		return Hold{RetryAfter: comeBackAfter, EndsInstances: c.Held}
 	}
 	if c.Held {
 		b.tried[d] = now
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -210,7 +210,7 @@
 		return "alone"
 	case quarantine.Hold:
 		why := "under way"
-		if v.Ended {
+		if v.EndsInstances {
 			why = "ended"
 		}
 		return fmt.Sprint("hold ", v.RetryAfter, " ", why)
--- a/internal/coordination/quarantine/replay_test.go
+++ b/internal/coordination/quarantine/replay_test.go
@@ -234,7 +234,7 @@
 		return
 	}
 	r.refused++
-	if hold.Ended {
+	if hold.EndsInstances {
 		r.held++
 		r.heldBodies[q.digest] = true
 	}
