--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -98,7 +98,7 @@
 	if e, ended := older.(InstanceEnded); ended {
 		return b.refuted(e) && newer.When().After(e.At)
 	}
-	return newer.When().After(older.When().Add(SameTime))
+	return newer.When().After(older.When().Add(TimeTolerance))
 }
 
 // Change returns the number of the newest change.
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -54,9 +54,9 @@
 	// comeBackAfter is when a caller may come back whose request is under way here already: most
 	// requests take less.
 	comeBackAfter = 300 * time.Millisecond
-	// SameTime is by how much two reports of one thing may differ: they are told as ages, and are
+	// TimeTolerance is by how much two reports of one thing may differ: they are told as ages, and are
 	// under way for some time.
-	SameTime = 500 * time.Millisecond
+	TimeTolerance = 500 * time.Millisecond
 	// factLife is how long facts are kept of requests that are not held: callers who come again
 	// after a longer time end few instances.
 	factLife = 10 * time.Minute
--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -155,7 +155,7 @@
 // lacks reports whether a receiver does not know a fact, or an older one in its place.
 func (known *ReceiverState) lacks(f quarantine.Fact) bool {
 	at, told := known.when[f.Key()]
-	return !told || f.When().Sub(at) > quarantine.SameTime
+	return !told || f.When().Sub(at) > quarantine.TimeTolerance
 }
 
 // Unsent returns what a receiver is to be told now, and forgets in known what is forgotten here.
