--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -38,8 +38,8 @@
 	fullUntil time.Time
 }
 
-// Board is the state. Make one with New.
-type Board struct {
+// Planner is the state. Make one with New.
+type Planner struct {
 	domain string
 	// upstreams and names have the same length; a number once given to an
 	// upstream stays its own, so that hints keep their meaning.
@@ -68,8 +68,8 @@
 }
 
 // New returns a board for an entry in a failure domain.
-func New(domain string, contexts int, seed uint64) *Board {
-	return &Board{
+func New(domain string, contexts int, seed uint64) *Planner {
+	return &Planner{
 		domain:     domain,
 		numbers:    map[string]int{},
 		teams:      map[string]uint16{},
@@ -81,7 +81,7 @@
 
 // Declare makes the board agree with the declared state. Only upstreams and stores of
 // the entry's own region are used.
-func (b *Board) Declare(s *declared.State) {
+func (b *Planner) Declare(s *declared.State) {
 	b.superseded = s.AllSuperseded()
 	b.weights = routing.Weights{FirstToken: s.Control().FirstTokenWeight(), Recompute: s.Control().RecomputeWeight()}
 	present := map[string]bool{}
@@ -99,7 +99,7 @@
 	b.declareTeams(s)
 }
 
-func (b *Board) declareUpstream(u declared.Upstream, evacuated bool) {
+func (b *Planner) declareUpstream(u declared.Upstream, evacuated bool) {
 	n, ok := b.numbers[u.Name()]
 	if !ok {
 		n = len(b.names)
@@ -124,7 +124,7 @@
 	known.NoteLeaving(u.Leaving() || evacuated)
 }
 
-func (b *Board) declareStores(state *declared.State) {
+func (b *Planner) declareStores(state *declared.State) {
 	for i := range b.stores {
 		b.stores[i].declared = false
 	}
@@ -141,7 +141,7 @@
 	}
 }
 
-func (b *Board) storeNumber(address string) int {
+func (b *Planner) storeNumber(address string) int {
 	for i, s := range b.stores {
 		if s.address == address {
 			return i
@@ -152,28 +152,28 @@
 }
 
 // Upstream returns an upstream by number, to note what happened there.
-func (b *Board) Upstream(n int) *routing.Upstream { return &b.upstreams[n] }
+func (b *Planner) Upstream(n int) *routing.Upstream { return &b.upstreams[n] }
 
 // Number returns the number of an upstream.
-func (b *Board) Number(name string) (int, bool) {
+func (b *Planner) Number(name string) (int, bool) {
 	n, ok := b.numbers[name]
 	return n, ok
 }
 
 // Upstreams returns how many upstreams have ever been declared.
-func (b *Board) Upstreams() int { return len(b.upstreams) }
+func (b *Planner) Upstreams() int { return len(b.upstreams) }
 
 // Name returns an upstream's name.
-func (b *Board) Name(n int) string { return b.names[n] }
+func (b *Planner) Name(n int) string { return b.names[n] }
 
 // Address returns an upstream's "ip:port".
-func (b *Board) Address(n int) string { return b.addresses[n] }
+func (b *Planner) Address(n int) string { return b.addresses[n] }
 
 // Directory returns the board's directory.
-func (b *Board) Directory() *directory.Directory { return b.directory }
+func (b *Planner) Directory() *directory.Directory { return b.directory }
 
 // Weights returns the deployment's declared weights.
-func (b *Board) Weights() routing.Weights { return b.weights }
+func (b *Planner) Weights() routing.Weights { return b.weights }
 
 // ServingVersion returns the weight version under which a new prompt should run: the
 // one in force as soon as enough upstreams serve it, and until then the one before it, if more
@@ -181,7 +181,7 @@
 // is, and nothing runs on it, whoever else is known. Only upstreams that may take the prompt
 // count: not those that leave, rest, are ejected or were tried. While a rollout goes on both are served, each to its own
 // prompts; their kept contexts never meet, because the version is part of every key.
-func (b *Board) ServingVersion(m declared.Model, tried []int, now time.Time) string {
+func (b *Planner) ServingVersion(m declared.Model, tried []int, now time.Time) string {
 	wanted := m.WeightVersion()
 	before, ok := b.superseded[m.Name()]
 	if !ok {
@@ -234,7 +234,7 @@
 }
 
 // Place makes the plan for a prompt; ok is false when no upstream may run it.
-func (b *Board) Place(p Prompt, now time.Time) (Plan, bool) {
+func (b *Planner) Place(p Prompt, now time.Time) (Plan, bool) {
 	if p.Hints != nil {
 		b.take(p.Hints)
 	} else {
@@ -277,14 +277,14 @@
 
 // RestLeft returns for how long the first of the upstreams that rest still does, when a prompt finds none
 // for that reason.
-func (b *Board) RestLeft(p Prompt, now time.Time) (left time.Duration, ok bool) {
+func (b *Planner) RestLeft(p Prompt, now time.Time) (left time.Duration, ok bool) {
 	q := routing.Prompt{Model: p.Model.Name(), Version: p.Version, Tried: p.Tried}
 	return routing.BackoffRemaining(b.upstreams, &q, now)
 }
 
 // fetchable returns how many leading blocks one store holds, and the bandwidth a
 // fetch would get there now.
-func (b *Board) fetchable(now time.Time) (blocks int, rate float64, storeNumber int) {
+func (b *Planner) fetchable(now time.Time) (blocks int, rate float64, storeNumber int) {
 	if b.found.Stored == 0 {
 		return 0, 0, 0
 	}
@@ -301,7 +301,7 @@
 	return b.found.Stored, s.rate(now) / float64(s.transfers+1), storeNumber
 }
 
-func (b *Board) refs() []Kept {
+func (b *Planner) refs() []Kept {
 	var refs []Kept
 	for i, o := range b.found.Objects {
 		refs = append(refs, *b.kept(o, int(b.found.Ends[i])))
@@ -310,7 +310,7 @@
 }
 
 // BeginFetch counts a fetch that a caller waits for.
-func (b *Board) BeginFetch(address string) { b.stores[b.storeNumber(address)].transfers++ }
+func (b *Planner) BeginFetch(address string) { b.stores[b.storeNumber(address)].transfers++ }
 
 // Fetched says how a fetch ended. It is a plain value.
 type Fetched struct {
@@ -326,7 +326,7 @@
 
 // EndFetch ends a fetch of a plan's objects; keys are the prompt's. The plan then says what the store really
 // holds. The notes that are returned drop the hints to objects that were refused.
-func (b *Board) EndFetch(p *Plan, keys []prefix.Key, f Fetched, now time.Time) []Note {
+func (b *Planner) EndFetch(p *Plan, keys []prefix.Key, f Fetched, now time.Time) []Note {
 	s := &b.stores[b.storeNumber(p.Store)]
 	s.transfers--
 	s.observe(f.Bytes, f.Took, now)
--- a/internal/coordination/placement/copies_test.go
+++ b/internal/coordination/placement/copies_test.go
@@ -6,7 +6,7 @@
 )
 
 // keep copies a finished prompt's context when the decisions say so.
-func (w *world) keep(board, owner *placement.Board, a arrival, keys []prefix.Key, plan placement.Plan) {
+func (w *world) keep(board, owner *placement.Planner, a arrival, keys []prefix.Key, plan placement.Plan) {
 	p := placement.Postponed{Keys: keys, Plan: plan, Tag: copying{owner, a.context, len(keys)}}
 	if c, ok := board.PlanCopy(p, instant(a.at)); ok {
 		w.copy(board, p, c, a.at)
@@ -15,12 +15,12 @@
 
 // copying says whose context a copy is.
 type copying struct {
-	owner           *placement.Board
+	owner           *placement.Planner
 	context, blocks int
 }
 
 // copy moves a context to a store, if its engine still has it.
-func (w *world) copy(board *placement.Board, p placement.Postponed, c placement.Copy, at float64) {
+func (w *world) copy(board *placement.Planner, p placement.Postponed, c placement.Copy, at float64) {
 	tag := p.Tag.(copying)
 	k := w.keeper(c.Store)
 	var object *placement.Kept
@@ -39,7 +39,7 @@
 	})
 }
 
-func (w *world) nextCopy(board *placement.Board, at float64) {
+func (w *world) nextCopy(board *placement.Planner, at float64) {
 	if p, c, ok := board.NextCopy(instant(at)); ok {
 		w.copy(board, p, c, at)
 	}
--- a/internal/coordination/placement/guard.go
+++ b/internal/coordination/placement/guard.go
@@ -7,7 +7,7 @@
 const guardShare = 0.8
 
 // team returns the number by which the directory knows a team.
-func (b *Board) team(name string) uint16 {
+func (b *Planner) team(name string) uint16 {
 	n, ok := b.teams[name]
 	if !ok {
 		n = uint16(len(b.teams))
@@ -18,7 +18,7 @@
 }
 
 // declareTeams takes the shares of teams.
-func (b *Board) declareTeams(s *declared.State) {
+func (b *Planner) declareTeams(s *declared.State) {
 	for name, n := range b.teams {
 		b.shares[n] = 1
 		if t, ok := s.Team(name); ok {
@@ -29,7 +29,7 @@
 
 // guards returns how many blocks of a store each team keeps: a part of its share of what
 // this board's part of the directory holds there. Only teams that hold something count.
-func (b *Board) guards(store uint16) map[uint16]int {
+func (b *Planner) guards(store uint16) map[uint16]int {
 	held := b.directory.Held(store)
 	blocks, shares := 0, 0.0
 	for team, n := range held {
@@ -47,7 +47,7 @@
 // they hold a number of blocks, and returns them, to be freed. The order is by
 // last use: the contexts of this board that were asked for longest ago, of teams that
 // hold more than their guard.
-func (b *Board) Victims(address string, blocks int) []Kept {
+func (b *Planner) Victims(address string, blocks int) []Kept {
 	n := uint16(b.storeNumber(address) + 1)
 	var out []Kept
 	for _, o := range b.directory.StalestObjects(n, blocks, b.guards(n)) {
--- a/internal/coordination/placement/guard_test.go
+++ b/internal/coordination/placement/guard_test.go
@@ -20,7 +20,7 @@
 
 // shelf is one full store and the board that says what leaves it.
 type shelf struct {
-	board *placement.Board
+	board *placement.Planner
 	held  map[prefix.Key]uint64
 	space int
 	next  uint64
--- a/internal/coordination/placement/hints.go
+++ b/internal/coordination/placement/hints.go
@@ -70,7 +70,7 @@
 }
 
 // Find returns what this board's directory knows of a prompt.
-func (b *Board) Find(keys []prefix.Key) *Hints {
+func (b *Planner) Find(keys []prefix.Key) *Hints {
 	b.directory.Match(keys, len(b.upstreams), &b.found)
 	h := &Hints{}
 	for n, blocks := range b.found.Cached[:len(b.upstreams)] {
@@ -85,7 +85,7 @@
 }
 
 // take puts another entry's hints in the place of a match of this board's own.
-func (b *Board) take(h *Hints) {
+func (b *Planner) take(h *Hints) {
 	b.directory.Match(nil, len(b.upstreams), &b.found)
 	for _, c := range h.Cached {
 		if n, ok := b.numbers[c.Upstream]; ok {
@@ -100,7 +100,7 @@
 	}
 }
 
-func (b *Board) object(store int, k Kept) directory.Object {
+func (b *Planner) object(store int, k Kept) directory.Object {
 	return directory.Object{
 		Store: uint16(store + 1), Incarnation: b.incarnation(store, k.Incarnation),
 		Blocks: uint32(k.Blocks), Object: k.Object, Generation: k.Generation,
@@ -109,7 +109,7 @@
 
 // Apply takes a note into this board's directory. It returns the objects that are of no
 // more use, to be freed: the one that it replaces, and those of contexts that gave way.
-func (b *Board) Apply(n Note, now time.Time) (useless []Kept) {
+func (b *Planner) Apply(n Note, now time.Time) (useless []Kept) {
 	if n.Refused {
 		b.directory.ForgetObject(n.Key)
 		return nil
@@ -134,7 +134,7 @@
 // Learn takes an object that a store listed into this board's directory, unless it knows
 // a newer one. It returns the objects that are of no use: a listed one that was replaced,
 // or those that it replaces itself.
-func (b *Board) Learn(n Note, now time.Time) (useless []Kept) {
+func (b *Planner) Learn(n Note, now time.Time) (useless []Kept) {
 	old, had := b.directory.Stored(n.Key)
 	if !had || !b.stores[old.Store-1].declared {
 		return b.Apply(n, now)
@@ -154,7 +154,7 @@
 
 // kept names an object as every entry knows it; end is how many blocks of a prompt
 // there are up to its end.
-func (b *Board) kept(o directory.Object, end int) *Kept {
+func (b *Planner) kept(o directory.Object, end int) *Kept {
 	s := &b.stores[o.Store-1]
 	return &Kept{
 		Store: s.address, Incarnation: s.incarnations[o.Incarnation], Object: o.Object, Generation: o.Generation,
--- a/internal/coordination/placement/keep.go
+++ b/internal/coordination/placement/keep.go
@@ -45,7 +45,7 @@
 // p.Plan is the plan under which it ran. Background copies give way to fetches that
 // callers wait for: while one is under way on a store's link, or the link is
 // crowded, the copy is postponed.
-func (b *Board) PlanCopy(p Postponed, now time.Time) (Copy, bool) {
+func (b *Planner) PlanCopy(p Postponed, now time.Time) (Copy, bool) {
 	c, store, ok := b.copyOf(p)
 	if !ok {
 		return Copy{}, false
@@ -59,7 +59,7 @@
 	return c, true
 }
 
-func (b *Board) postpone(p Postponed) {
+func (b *Planner) postpone(p Postponed) {
 	b.postponed = append(b.postponed, p)
 	if len(b.postponed) > maxPostponed {
 		b.postponed = append([]Postponed(nil), b.postponed[1:]...)
@@ -68,7 +68,7 @@
 
 // NextCopy takes the newest postponed copy whose store's link is free now: the
 // newest is the likeliest to be still in its engine's memory.
-func (b *Board) NextCopy(now time.Time) (Postponed, Copy, bool) {
+func (b *Planner) NextCopy(now time.Time) (Postponed, Copy, bool) {
 	for i := len(b.postponed) - 1; i >= 0; i-- {
 		p := b.postponed[i]
 		c, store, ok := b.copyOf(p)
@@ -85,7 +85,7 @@
 }
 
 // copyOf says what would be copied where.
-func (b *Board) copyOf(p Postponed) (c Copy, store int, ok bool) {
+func (b *Planner) copyOf(p Postponed) (c Copy, store int, ok bool) {
 	if len(p.Keys) < minKeepBlocks {
 		return Copy{}, 0, false
 	}
@@ -117,7 +117,7 @@
 // Otherwise contexts are spread over the stores of the entry's own failure domain,
 // or over all when it has none, by rendezvous hashing of their first key, so that
 // every entry picks the same one.
-func (b *Board) storeForCopy(first prefix.Key, p Plan) (int, bool) {
+func (b *Planner) storeForCopy(first prefix.Key, p Plan) (int, bool) {
 	best, bestNear := -1, false
 	var bestWeight uint64
 	for i := range b.stores {
@@ -149,7 +149,7 @@
 // EndCopy ends a copy of the context with a key and a number of blocks; full says that
 // the store had no space. When object is not nil it is sealed, and the note that is
 // returned makes it known.
-func (b *Board) EndCopy(c Copy, key prefix.Key, blocks int, object *Kept, full bool, now time.Time) (Note, bool) {
+func (b *Planner) EndCopy(c Copy, key prefix.Key, blocks int, object *Kept, full bool, now time.Time) (Note, bool) {
 	s := &b.stores[b.storeNumber(c.Store)]
 	s.copies--
 	if full {
@@ -163,7 +163,7 @@
 
 // incarnation numbers a store's blank start; when a new one is seen, the hints to
 // those before it are dropped, because all that they named is gone.
-func (b *Board) incarnation(n int, name string) uint16 {
+func (b *Planner) incarnation(n int, name string) uint16 {
 	s := &b.stores[n]
 	for i, known := range s.incarnations {
 		if known == name {
--- a/internal/coordination/placement/replay_test.go
+++ b/internal/coordination/placement/replay_test.go
@@ -71,7 +71,7 @@
 	reported   []int
 	reportedAt float64
 	// What only shedrock has: one board an entry, and when runs end.
-	boards  []*placement.Board
+	boards  []*placement.Planner
 	model   declared.Model
 	ends    []ending
 	objects uint64
--- a/internal/coordination/placement/retention.go
+++ b/internal/coordination/placement/retention.go
@@ -52,7 +52,7 @@
 }
 
 // distrust clears the hints to contexts that are older than their engine keeps.
-func (b *Board) distrust(now time.Time) {
+func (b *Planner) distrust(now time.Time) {
 	second := float64(now.Unix())
 	for _, n := range b.found.Touched() {
 		age := second - float64(b.found.Used[n])
@@ -64,7 +64,7 @@
 }
 
 // NoteReuse takes how many blocks an engine really reused for a plan.
-func (b *Board) NoteReuse(p Plan, blocks int, now time.Time) {
+func (b *Planner) NoteReuse(p Plan, blocks int, now time.Time) {
 	if p.Cached == 0 || p.Fetch {
 		return
 	}
--- a/internal/transport/entry/entry.go
+++ b/internal/transport/entry/entry.go
@@ -105,7 +105,7 @@
 	// The fields below are guarded by mu.
 	queue   *admission.Queue
 	waiting map[uint64]chan admission.Effect
-	board   *placement.Board
+	board   *placement.Planner
 	budget  *retry.Budget
 	// lender and borrower hold what this entry lends and has of teams' token rates.
 	lender   *limits.Lender
