--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -222,7 +222,7 @@
 	Name, Address string
 	// Store, Refs and FetchBlocks say what to fetch first, when Fetch is true.
 	Store       string
-	Refs        []Kept
+	Refs        []StoredObject
 	FetchBlocks int
 	// Cached is how many leading blocks the upstream is thought to have, as was last
 	// known at CachedUsed, in seconds.
@@ -301,8 +301,8 @@
 	return b.found.Stored, s.rate(now) / float64(s.transfers+1), storeNumber
 }
 
-func (b *Planner) refs() []Kept {
-	var refs []Kept
+func (b *Planner) refs() []StoredObject {
+	var refs []StoredObject
 	for i, o := range b.found.Objects {
 		refs = append(refs, *b.kept(o, int(b.found.Ends[i])))
 	}
--- a/internal/coordination/placement/copies_test.go
+++ b/internal/coordination/placement/copies_test.go
@@ -23,11 +23,11 @@
 func (w *world) copy(board *placement.Planner, p placement.Postponed, c placement.Copy, at float64) {
 	tag := p.Tag.(copying)
 	k := w.keeper(c.Store)
-	var object *placement.Kept
+	var object *placement.StoredObject
 	if w.machines[p.Plan.Upstream].cache.blocks(tag.context) >= tag.blocks {
 		at = w.transfer(k, at, c.Blocks, w.rate(at))
 		w.objects++
-		object = &placement.Kept{Store: c.Store, Object: w.objects, Generation: w.objects, Incarnation: "i", Blocks: c.Blocks, End: tag.blocks}
+		object = &placement.StoredObject{Store: c.Store, Object: w.objects, Generation: w.objects, Incarnation: "i", Blocks: c.Blocks, End: tag.blocks}
 	}
 	w.later(at, func() {
 		note, ok := board.EndCopy(c, p.Keys[tag.blocks-1], tag.blocks, object, false, instant(at))
--- a/internal/coordination/placement/guard.go
+++ b/internal/coordination/placement/guard.go
@@ -47,9 +47,9 @@
 // they hold a number of blocks, and returns them, to be freed. The order is by
 // last use: the contexts of this board that were asked for longest ago, of teams that
 // hold more than their guard.
-func (b *Planner) Victims(address string, blocks int) []Kept {
+func (b *Planner) Victims(address string, blocks int) []StoredObject {
 	n := uint16(b.storeNumber(address) + 1)
-	var out []Kept
+	var out []StoredObject
 	for _, o := range b.directory.StalestObjects(n, blocks, b.guards(n)) {
 		out = append(out, *b.kept(o, 0))
 	}
--- a/internal/coordination/placement/guard_test.go
+++ b/internal/coordination/placement/guard_test.go
@@ -67,7 +67,7 @@
 		object = s.next
 		s.held[key] = object
 	}
-	kept := placement.Kept{Store: guardStore, Incarnation: "i", Object: object, Generation: object, Blocks: 10, End: 10}
+	kept := placement.StoredObject{Store: guardStore, Incarnation: "i", Object: object, Generation: object, Blocks: 10, End: 10}
 	s.board.Apply(placement.Note{Team: team, Key: key, Blocks: 10, Object: &kept}, time.Unix(1, 0))
 }
 
--- a/internal/coordination/placement/hints.go
+++ b/internal/coordination/placement/hints.go
@@ -32,7 +32,7 @@
 // It is a plain value.
 type Hints struct {
 	Cached  []CachedAt
-	Objects []Kept
+	Objects []StoredObject
 }
 
 // CachedAt says how many leading blocks an upstream may have.
@@ -43,8 +43,8 @@
 	Used uint32
 }
 
-// Kept names an object in a store.
-type Kept struct {
+// StoredObject names an object in a store.
+type StoredObject struct {
 	// Store is the store's address.
 	Store, Incarnation string
 	Object, Generation uint64
@@ -63,7 +63,7 @@
 	Upstream string
 	// Object was sealed with the context's last blocks, when it is not nil; Parent
 	// is the key before them.
-	Object *Kept
+	Object *StoredObject
 	Parent prefix.Key
 	// Refused says that a store refused the context's object.
 	Refused bool
@@ -100,7 +100,7 @@
 	}
 }
 
-func (b *Planner) object(store int, k Kept) directory.Object {
+func (b *Planner) object(store int, k StoredObject) directory.Object {
 	return directory.Object{
 		Store: uint16(store + 1), Incarnation: b.incarnation(store, k.Incarnation),
 		Blocks: uint32(k.Blocks), Object: k.Object, Generation: k.Generation,
@@ -109,7 +109,7 @@
 
 // Apply takes a note into this board's directory. It returns the objects that are of no
 // more use, to be freed: the one that it replaces, and those of contexts that gave way.
-func (b *Planner) Apply(n Note, now time.Time) (useless []Kept) {
+func (b *Planner) Apply(n Note, now time.Time) (useless []StoredObject) {
 	if n.Refused {
 		b.directory.ForgetObject(n.Key)
 		return nil
@@ -134,7 +134,7 @@
 // Learn takes an object that a store listed into this board's directory, unless it knows
 // a newer one. It returns the objects that are of no use: a listed one that was replaced,
 // or those that it replaces itself.
-func (b *Planner) Learn(n Note, now time.Time) (useless []Kept) {
+func (b *Planner) Learn(n Note, now time.Time) (useless []StoredObject) {
 	old, had := b.directory.Stored(n.Key)
 	if !had || !b.stores[old.Store-1].declared {
 		return b.Apply(n, now)
@@ -142,21 +142,21 @@
 	known := b.kept(old, n.Blocks)
 	switch {
 	case known.Store != n.Object.Store:
-		return []Kept{*n.Object}
+		return []StoredObject{*n.Object}
 	case known.Incarnation != n.Object.Incarnation || known.Generation < n.Object.Generation:
 		// The store has started blank since, or the object was replaced unheard.
 		return b.Apply(n, now)
 	case known.Generation > n.Object.Generation:
-		return []Kept{*n.Object}
+		return []StoredObject{*n.Object}
 	}
 	return nil
 }
 
 // kept names an object as every entry knows it; end is how many blocks of a prompt
 // there are up to its end.
-func (b *Planner) kept(o directory.Object, end int) *Kept {
+func (b *Planner) kept(o directory.Object, end int) *StoredObject {
 	s := &b.stores[o.Store-1]
-	return &Kept{
+	return &StoredObject{
 		Store: s.address, Incarnation: s.incarnations[o.Incarnation], Object: o.Object, Generation: o.Generation,
 		Blocks: int(o.Blocks), End: end,
 	}
--- a/internal/coordination/placement/keep.go
+++ b/internal/coordination/placement/keep.go
@@ -149,7 +149,7 @@
 // EndCopy ends a copy of the context with a key and a number of blocks; full says that
 // the store had no space. When object is not nil it is sealed, and the note that is
 // returned makes it known.
-func (b *Planner) EndCopy(c Copy, key prefix.Key, blocks int, object *Kept, full bool, now time.Time) (Note, bool) {
+func (b *Planner) EndCopy(c Copy, key prefix.Key, blocks int, object *StoredObject, full bool, now time.Time) (Note, bool) {
 	s := &b.stores[b.storeNumber(c.Store)]
 	s.copies--
 	if full {
--- a/internal/protocol/wire/peers.go
+++ b/internal/protocol/wire/peers.go
@@ -111,15 +111,15 @@
 	return h
 }
 
-func fromKept(k placement.Kept) *KeptObject {
+func fromKept(k placement.StoredObject) *KeptObject {
 	return &KeptObject{
 		Store: k.Store, Incarnation: k.Incarnation, Object: k.Object, Generation: k.Generation,
 		Blocks: uint32(k.Blocks), End: uint32(k.End),
 	}
 }
 
-func toKept(k *KeptObject) placement.Kept {
-	return placement.Kept{
+func toKept(k *KeptObject) placement.StoredObject {
+	return placement.StoredObject{
 		Store: k.Store, Incarnation: k.Incarnation, Object: k.Object, Generation: k.Generation,
 		Blocks: int(k.Blocks), End: int(k.End),
 	}
--- a/internal/transport/entry/relearn.go
+++ b/internal/transport/entry/relearn.go
@@ -144,13 +144,13 @@
 
 // take puts listed objects into the directory; it returns how many were of use, and
 // those to be freed.
-func (r *relearner) take(store string, objects []blocks.Listed, writing map[blocks.Name]bool) (learned int, useless []placement.Kept) {
+func (r *relearner) take(store string, objects []blocks.Listed, writing map[blocks.Name]bool) (learned int, useless []placement.StoredObject) {
 	e := r.e
 	now := clock.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, o := range objects {
-		kept := placement.Kept{
+		kept := placement.StoredObject{
 			Store: store, Incarnation: o.Incarnation, Object: o.Object, Generation: o.Generation,
 			Blocks: o.Label.Blocks, End: o.Label.End,
 		}
@@ -176,7 +176,7 @@
 }
 
 // noteOf reads a label; ok is false when it is not one of ours.
-func noteOf(l blocks.Label, kept placement.Kept) (n placement.Note, ok bool) {
+func noteOf(l blocks.Label, kept placement.StoredObject) (n placement.Note, ok bool) {
 	key, ok := prefix.ParseKey(l.Key)
 	if !ok {
 		return n, false
--- a/internal/transport/entry/transfer.go
+++ b/internal/transport/entry/transfer.go
@@ -142,16 +142,16 @@
 		Label:   label(j, c),
 	})
 	full := strings.Contains(out.Refused, "507")
-	var object *placement.Kept
+	var object *placement.StoredObject
 	if out.Ref.Object != 0 {
-		object = &placement.Kept{
+		object = &placement.StoredObject{
 			Store: c.Store, Incarnation: out.Ref.Incarnation, Object: out.Ref.Object, Generation: out.Ref.Generation,
 			Blocks: c.Blocks, End: len(j.keys),
 		}
 	}
 	e.mu.Lock()
 	note, ok := e.board.EndCopy(c, j.keys[len(j.keys)-1], len(j.keys), object, full, clock.Now())
-	var victims []placement.Kept
+	var victims []placement.StoredObject
 	if full {
 		victims = e.board.Victims(c.Store, c.Blocks)
 	}
@@ -197,7 +197,7 @@
 // ApplyNotes takes notes into this entry's part of the directory, and frees the objects
 // that are of no more use.
 func (e *Entry) ApplyNotes(notes []placement.Note) {
-	var useless []placement.Kept
+	var useless []placement.StoredObject
 	now := clock.Now()
 	e.mu.Lock()
 	for _, n := range notes {
@@ -209,7 +209,7 @@
 
 // free gives objects back to their stores, in the background. Their hints are gone
 // already; a reader that still holds one is refused by the store.
-func (e *Entry) free(objects []placement.Kept) {
+func (e *Entry) free(objects []placement.StoredObject) {
 	if len(objects) == 0 {
 		return
 	}
@@ -226,7 +226,7 @@
 	}()
 }
 
-func (e *Entry) freeOne(ctx context.Context, o placement.Kept) {
+func (e *Entry) freeOne(ctx context.Context, o placement.StoredObject) {
 	type query struct {
 		Generation  uint64 `url:"generation"`
 		Incarnation string `url:"incarnation"`
