--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -312,8 +312,8 @@
 // BeginFetch counts a fetch that a caller waits for.
 func (b *Planner) BeginFetch(address string) { b.stores[b.storeNumber(address)].transfers++ }
 
-// Fetched says how a fetch ended. It is a plain value.
-type Fetched struct {
+// FetchResult says how a fetch ended. It is a plain value.
+type FetchResult struct {
 	// Blocks is how many arrived, and Took how long that was.
 	Blocks int
 	Took   time.Duration
@@ -326,7 +326,7 @@
 
 // EndFetch ends a fetch of a plan's objects; keys are the prompt's. The plan then says what the store really
 // holds. The notes that are returned drop the hints to objects that were refused.
-func (b *Planner) EndFetch(p *Plan, keys []prefix.Key, f Fetched, now time.Time) []Note {
+func (b *Planner) EndFetch(p *Plan, keys []prefix.Key, f FetchResult, now time.Time) []Note {
 	s := &b.stores[b.storeNumber(p.Store)]
 	s.transfers--
 	s.observe(f.Bytes, f.Took, now)
--- a/internal/coordination/placement/replay_test.go
+++ b/internal/coordination/placement/replay_test.go
@@ -282,7 +282,7 @@
 		kept := min(k.cache.blocks(a.context), plan.FetchBlocks)
 		got := max(kept, have)
 		board.BeginFetch(plan.Store)
-		took := placement.Fetched{Blocks: got, Bytes: int64(float64(max(kept-have, 0)*prefix.BlockTokens) * w.bytesPerToken)}
+		took := placement.FetchResult{Blocks: got, Bytes: int64(float64(max(kept-have, 0)*prefix.BlockTokens) * w.bytesPerToken)}
 		if kept > have {
 			ready, took.GaveUp = w.fetch(k, a.at, took.Bytes, plan.FetchTimeout.Seconds(), rate)
 		}
--- a/internal/transport/entry/transfer.go
+++ b/internal/transport/entry/transfer.go
@@ -51,7 +51,7 @@
 	})
 	e.mu.Lock()
 	now := clock.Now()
-	fetched := placement.Fetched{Blocks: out.Blocks, Bytes: out.Bytes, Took: now.Sub(began), GaveUp: err != nil}
+	fetched := placement.FetchResult{Blocks: out.Blocks, Bytes: out.Bytes, Took: now.Sub(began), GaveUp: err != nil}
 	if fetched.GaveUp {
 		fetched.Bytes = int64(j.plan.FetchBlocks-j.plan.Cached) * int64(blockBytes(j))
 	}
