--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -320,8 +320,8 @@
 	// Bytes went over the link; when the fetch was given up, it is what should have
 	// gone in that time.
 	Bytes int64
-	// GaveUp says that time ran out, which tells nothing about the objects.
-	GaveUp bool
+	// Aborted says that time ran out, which tells nothing about the objects.
+	Aborted bool
 }
 
 // EndFetch ends a fetch of a plan's objects; keys are the prompt's. The plan then says what the store really
@@ -330,7 +330,7 @@
 	s := &b.stores[b.storeNumber(p.Store)]
 	s.transfers--
 	s.observe(f.Bytes, f.Took, now)
-	if f.GaveUp {
+	if f.Aborted {
 		return nil
 	}
 	var notes []Note
--- a/internal/coordination/placement/replay_test.go
+++ b/internal/coordination/placement/replay_test.go
@@ -284,10 +284,10 @@
 		board.BeginFetch(plan.Store)
 		took := placement.FetchResult{Blocks: got, Bytes: int64(float64(max(kept-have, 0)*prefix.BlockTokens) * w.bytesPerToken)}
 		if kept > have {
-			ready, took.GaveUp = w.fetch(k, a.at, took.Bytes, plan.FetchTimeout.Seconds(), rate)
+			ready, took.Aborted = w.fetch(k, a.at, took.Bytes, plan.FetchTimeout.Seconds(), rate)
 		}
 		took.Took = time.Duration((ready - a.at) * float64(time.Second))
-		if took.GaveUp {
+		if took.Aborted {
 			got = have
 		}
 		ended := plan
@@ -298,7 +298,7 @@
 			w.nextCopy(board, ready)
 		})
 		// What the shell knows when the run ends, and the copy is planned.
-		if !took.GaveUp {
+		if !took.Aborted {
 			plan.Kept = got
 		}
 		have = got
--- a/internal/transport/entry/transfer.go
+++ b/internal/transport/entry/transfer.go
@@ -51,8 +51,8 @@
 	})
 	e.mu.Lock()
 	now := clock.Now()
-	fetched := placement.FetchResult{Blocks: out.Blocks, Bytes: out.Bytes, Took: now.Sub(began), GaveUp: err != nil}
-	if fetched.GaveUp {
+	fetched := placement.FetchResult{Blocks: out.Blocks, Bytes: out.Bytes, Took: now.Sub(began), Aborted: err != nil}
+	if fetched.Aborted {
 		fetched.Bytes = int64(j.plan.FetchBlocks-j.plan.Cached) * int64(blockBytes(j))
 	}
 	notes := e.board.EndFetch(&j.plan, j.keys, fetched, now)
