--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -64,7 +64,7 @@
 	superseded map[string]string
 	// postponed holds copies that wait for their store's link, oldest first, at
 	// most maxPostponed.
-	postponed []Postponed
+	postponed []PostponedCopy
 }
 
 // New returns a board for an entry in a failure domain.
--- a/internal/coordination/placement/copies_test.go
+++ b/internal/coordination/placement/copies_test.go
@@ -7,7 +7,7 @@
 
 // keep copies a finished prompt's context when the decisions say so.
 func (w *world) keep(board, owner *placement.Planner, a arrival, keys []prefix.Key, plan placement.Plan) {
-	p := placement.Postponed{Keys: keys, Plan: plan, Tag: copying{owner, a.context, len(keys)}}
+	p := placement.PostponedCopy{Keys: keys, Plan: plan, Tag: copying{owner, a.context, len(keys)}}
 	if c, ok := board.PlanCopy(p, instant(a.at)); ok {
 		w.copy(board, p, c, a.at)
 	}
@@ -20,7 +20,7 @@
 }
 
 // copy moves a context to a store, if its engine still has it.
-func (w *world) copy(board *placement.Planner, p placement.Postponed, c placement.Copy, at float64) {
+func (w *world) copy(board *placement.Planner, p placement.PostponedCopy, c placement.Copy, at float64) {
 	tag := p.Tag.(copying)
 	k := w.keeper(c.Store)
 	var object *placement.StoredObject
--- a/internal/coordination/placement/keep.go
+++ b/internal/coordination/placement/keep.go
@@ -33,8 +33,8 @@
 	Parent prefix.Key
 }
 
-// Postponed is a copy that waits for its store's link. It is a plain value.
-type Postponed struct {
+// PostponedCopy is a copy that waits for its store's link. It is a plain value.
+type PostponedCopy struct {
 	Keys []prefix.Key
 	Plan Plan
 	// Tag is the caller's own, to know the prompt again.
@@ -45,7 +45,7 @@
 // p.Plan is the plan under which it ran. Background copies give way to fetches that
 // callers wait for: while one is under way on a store's link, or the link is
 // crowded, the copy is postponed.
-func (b *Planner) PlanCopy(p Postponed, now time.Time) (Copy, bool) {
+func (b *Planner) PlanCopy(p PostponedCopy, now time.Time) (Copy, bool) {
 	c, store, ok := b.copyOf(p)
 	if !ok {
 		return Copy{}, false
@@ -59,16 +59,16 @@
 	return c, true
 }
 
-func (b *Planner) postpone(p Postponed) {
+func (b *Planner) postpone(p PostponedCopy) {
 	b.postponed = append(b.postponed, p)
 	if len(b.postponed) > maxPostponed {
-		b.postponed = append([]Postponed(nil), b.postponed[1:]...)
+		b.postponed = append([]PostponedCopy(nil), b.postponed[1:]...)
 	}
 }
 
 // NextCopy takes the newest postponed copy whose store's link is free now: the
 // newest is the likeliest to be still in its engine's memory.
-func (b *Planner) NextCopy(now time.Time) (Postponed, Copy, bool) {
+func (b *Planner) NextCopy(now time.Time) (PostponedCopy, Copy, bool) {
 	for i := len(b.postponed) - 1; i >= 0; i-- {
 		p := b.postponed[i]
 		c, store, ok := b.copyOf(p)
@@ -81,11 +81,11 @@
 			return p, c, true
 		}
 	}
-	return Postponed{}, Copy{}, false
+	return PostponedCopy{}, Copy{}, false
 }
 
 // copyOf says what would be copied where.
-func (b *Planner) copyOf(p Postponed) (c Copy, store int, ok bool) {
+func (b *Planner) copyOf(p PostponedCopy) (c Copy, store int, ok bool) {
 	if len(p.Keys) < minKeepBlocks {
 		return Copy{}, 0, false
 	}
--- a/internal/transport/entry/transfer.go
+++ b/internal/transport/entry/transfer.go
@@ -99,7 +99,7 @@
 	}
 	e.note(j.keys, placement.Note{Key: j.keys[len(j.keys)-1], Blocks: len(j.keys), Upstream: j.plan.Name})
 	e.mu.Lock()
-	p := placement.Postponed{Keys: j.keys, Plan: j.plan, Tag: j}
+	p := placement.PostponedCopy{Keys: j.keys, Plan: j.plan, Tag: j}
 	c, ok := e.board.PlanCopy(p, clock.Now())
 	e.mu.Unlock()
 	if ok {
