--- a/internal/coordination/placement/guard.go
+++ b/internal/coordination/placement/guard.go
@@ -43,11 +43,11 @@
 	return out
 }
 
-// Victims takes the least useful objects of a store out of the directory, until
+// EvictObjects takes the least useful objects of a store out of the directory, until
 // they hold a number of blocks, and returns them, to be freed. The order is by
 // last use: the contexts of this board that were asked for longest ago, of teams that
 // hold more than their guard.
-func (b *Planner) Victims(address string, blocks int) []StoredObject {
+func (b *Planner) EvictObjects(address string, blocks int) []StoredObject {
 	n := uint16(b.storeNumber(address) + 1)
 	var out []StoredObject
 	for _, o := range b.directory.StalestObjects(n, blocks, b.guards(n)) {
--- a/internal/coordination/placement/guard_test.go
+++ b/internal/coordination/placement/guard_test.go
@@ -49,7 +49,7 @@
 		return true
 	}
 	if len(s.held) >= s.space {
-		for _, k := range s.board.Victims(guardStore, 10) {
+		for _, k := range s.board.EvictObjects(guardStore, 10) {
 			s.drop(k.Object)
 		}
 	}
--- a/internal/transport/entry/transfer.go
+++ b/internal/transport/entry/transfer.go
@@ -153,7 +153,7 @@
 	note, ok := e.board.EndCopy(c, j.keys[len(j.keys)-1], len(j.keys), object, full, clock.Now())
 	var victims []placement.StoredObject
 	if full {
-		victims = e.board.Victims(c.Store, c.Blocks)
+		victims = e.board.EvictObjects(c.Store, c.Blocks)
 	}
 	e.mu.Unlock()
 	if ok {
