--- a/internal/transport/entry/relearn.go
+++ b/internal/transport/entry/relearn.go
@@ -193,7 +193,7 @@
 	if e.Peers != nil {
 		return e.Peers.Owned()
 	}
-	all := make([]uint16, placement.Parts)
+	all := make([]uint16, placement.Partitions)
 	for part := range all {
 		all[part] = uint16(part)
 	}
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -240,7 +240,7 @@
 // Borrow asks the owner of a team's limit for tokens; own is true when that is this
 // entry, and err is set when the owner does not answer in time.
 func (p *Peers) Borrow(ctx context.Context, team string, cost float64) (loan limits.Loan, own bool, err error) {
-	part := xxhash.Sum64String(team) % placement.Parts
+	part := xxhash.Sum64String(team) % placement.Partitions
 	p.init()
 	p.mu.Lock()
 	owner := p.owners[part]
@@ -295,6 +295,6 @@
 		return
 	}
 	p.contacts = contacts
-	p.owners = p.entries.Owners(placement.Parts, contacts)
+	p.owners = p.entries.Owners(placement.Partitions, contacts)
 	p.Log.Info().Str("event", "entries").Int("live", len(contacts)).Msg("")
 }
