--- a/internal/coordination/placement/hints.go
+++ b/internal/coordination/placement/hints.go
@@ -25,8 +25,8 @@
 // Partitions is into how many parts the directory is divided among entries.
 const Partitions = 4096
 
-// Part returns the part of the directory to which the contexts of a route belong.
-func Part(route prefix.Key) uint16 { return binary.BigEndian.Uint16(route[:]) % Partitions }
+// PartitionOf returns the part of the directory to which the contexts of a route belong.
+func PartitionOf(route prefix.Key) uint16 { return binary.BigEndian.Uint16(route[:]) % Partitions }
 
 // Hints is what a directory knows of one prompt, by names that every entry shares.
 // It is a plain value.
--- a/internal/transport/entry/transfer.go
+++ b/internal/transport/entry/transfer.go
@@ -173,7 +173,7 @@
 func label(j *job, c placement.Copy) blocks.Label {
 	route, _ := placement.Route(j.keys)
 	return blocks.Label{
-		Team: j.team, Part: placement.Part(route), Key: j.keys[len(j.keys)-1].String(), Parent: c.Parent.String(),
+		Team: j.team, Part: placement.PartitionOf(route), Key: j.keys[len(j.keys)-1].String(), Parent: c.Parent.String(),
 		Blocks: c.Blocks, End: len(j.keys),
 	}
 }
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -233,7 +233,7 @@
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	owner := p.owners[placement.Part(route)]
+	owner := p.owners[placement.PartitionOf(route)]
 	return owner.Address, owner.Name != p.Name
 }
 
