--- a/internal/coordination/placement/hints.go
+++ b/internal/coordination/placement/hints.go
@@ -131,10 +131,10 @@
 	return useless
 }
 
-// Learn takes an object that a store listed into this board's directory, unless it knows
+// ApplyListed takes an object that a store listed into this board's directory, unless it knows
 // a newer one. It returns the objects that are of no use: a listed one that was replaced,
 // or those that it replaces itself.
-func (b *Planner) Learn(n Note, now time.Time) (useless []StoredObject) {
+func (b *Planner) ApplyListed(n Note, now time.Time) (useless []StoredObject) {
 	old, had := b.directory.Stored(n.Key)
 	if !had || !b.stores[old.Store-1].declared {
 		return b.Apply(n, now)
--- a/internal/transport/entry/relearn.go
+++ b/internal/transport/entry/relearn.go
@@ -166,7 +166,7 @@
 		if !ok {
 			continue
 		}
-		gone := e.board.Learn(note, now)
+		gone := e.board.ApplyListed(note, now)
 		if len(gone) == 0 {
 			learned++
 		}
