--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -275,9 +275,9 @@
 	return out, true
 }
 
-// RestLeft returns for how long the first of the upstreams that rest still does, when a prompt finds none
+// BackoffRemaining returns for how long the first of the upstreams that rest still does, when a prompt finds none
 // for that reason.
-func (b *Planner) RestLeft(p Prompt, now time.Time) (left time.Duration, ok bool) {
+func (b *Planner) BackoffRemaining(p Prompt, now time.Time) (left time.Duration, ok bool) {
 	q := routing.Prompt{Model: p.Model.Name(), Version: p.Version, Tried: p.Tried}
 	return routing.BackoffRemaining(b.upstreams, &q, now)
 }
--- a/internal/transport/entry/run.go
+++ b/internal/transport/entry/run.go
@@ -158,7 +158,7 @@
 func (e *Entry) noUpstream(j *job) outcome.Outcome {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if left, ok := e.board.RestLeft(j.prompt(nil), clock.Now()); ok {
+	if left, ok := e.board.BackoffRemaining(j.prompt(nil), clock.Now()); ok {
 		return j.retry.Reject(left, outcome.ReasonResting)
 	}
 	return j.retry.GiveUp(outcome.ReasonNoUpstream)
