--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// Declare makes the board agree with the declared state. Only upstreams and stores of
+// ApplyDeclared makes the board agree with the declared state. Only upstreams and stores of
 // the entry's own region are used.
-func (b *Planner) Declare(s *declared.State) {
+func (b *Planner) ApplyDeclared(s *declared.State) {
 	b.superseded = s.AllSuperseded()
 	b.weights = routing.Weights{FirstToken: s.Control().FirstTokenWeight(), Recompute: s.Control().RecomputeWeight()}
 	present := map[string]bool{}
--- a/internal/coordination/placement/guard_test.go
+++ b/internal/coordination/placement/guard_test.go
@@ -33,7 +33,7 @@
 	}
 	state := stateOf(t, docs...)
 	board := placement.New("d", 100_000, 1)
-	board.Declare(state)
+	board.ApplyDeclared(state)
 	return &shelf{board: board, held: map[prefix.Key]uint64{}, space: guardSpace}
 }
 
--- a/internal/coordination/placement/region_test.go
+++ b/internal/coordination/placement/region_test.go
@@ -59,7 +59,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			state := stateOf(t, c.docs...)
 			board := placement.New("a", 10, 1)
-			board.Declare(state)
+			board.ApplyDeclared(state)
 			model, _ := state.Model("m")
 			p := placement.Prompt{Model: model, Version: "v", Tokens: 10}
 			var got []string
--- a/internal/coordination/placement/replay_test.go
+++ b/internal/coordination/placement/replay_test.go
@@ -119,7 +119,7 @@
 	w.model, _ = state.Model("m")
 	for i := range entries {
 		board := placement.New("d", 200_000, uint64(i))
-		board.Declare(state)
+		board.ApplyDeclared(state)
 		for n := range w.engines {
 			board.Upstream(n).Version = "v"
 		}
--- a/internal/coordination/placement/version_test.go
+++ b/internal/coordination/placement/version_test.go
@@ -36,7 +36,7 @@
 	apply(2, 1, "upstreams", upstreams)
 	board := placement.New("d", 10, 1)
 	serving := func(versions ...string) string {
-		board.Declare(state)
+		board.ApplyDeclared(state)
 		for i, version := range versions {
 			board.Upstream(i).Version = version
 		}
--- a/internal/transport/entry/entry.go
+++ b/internal/transport/entry/entry.go
@@ -229,7 +229,7 @@
 		return
 	}
 	e.state.Store(state)
-	e.board.Declare(state)
+	e.board.ApplyDeclared(state)
 	e.resize()
 	e.poll(e.work, state)
 }
