--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -160,8 +160,8 @@
 	return n, ok
 }
 
-// Upstreams returns how many upstreams have ever been declared.
-func (b *Planner) Upstreams() int { return len(b.upstreams) }
+// UpstreamCount returns how many upstreams have ever been declared.
+func (b *Planner) UpstreamCount() int { return len(b.upstreams) }
 
 // Name returns an upstream's name.
 func (b *Planner) Name(n int) string { return b.names[n] }
--- a/internal/transport/entry/entry.go
+++ b/internal/transport/entry/entry.go
@@ -261,7 +261,7 @@
 // resize sets how many requests run at once from the slots in use; mu must be held.
 func (e *Entry) resize() {
 	slots := 0
-	for n := range e.board.Upstreams() {
+	for n := range e.board.UpstreamCount() {
 		u := e.board.Upstream(n)
 		if !u.Leaving() {
 			slots += u.Slots
@@ -272,7 +272,7 @@
 	if live > 1 {
 		running = min(slots, int(float64(slots)*overcommit)/live+1)
 	}
-	e.carry(e.queue.Step(admission.Resize{Running: running, Waiting: e.MaxWaiting, Closed: slots == 0 && e.board.Upstreams() > 0}, clock.Now()))
+	e.carry(e.queue.Step(admission.Resize{Running: running, Waiting: e.MaxWaiting, Closed: slots == 0 && e.board.UpstreamCount() > 0}, clock.Now()))
 }
 
 // carry hands admission's effects to those who wait; mu must be held.
--- a/internal/transport/entry/instances.go
+++ b/internal/transport/entry/instances.go
@@ -57,7 +57,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for n := range e.board.Upstreams() {
+	for n := range e.board.UpstreamCount() {
 		e.board.Upstream(n).NoteListedLeaving(leaving[e.board.Address(n)])
 	}
 }
