--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -154,8 +154,8 @@
 // Upstream returns an upstream by number, to note what happened there.
 func (b *Planner) Upstream(n int) *routing.Upstream { return &b.upstreams[n] }
 
-// Number returns the number of an upstream.
-func (b *Planner) Number(name string) (int, bool) {
+// UpstreamNumber returns the number of an upstream.
+func (b *Planner) UpstreamNumber(name string) (int, bool) {
 	n, ok := b.numbers[name]
 	return n, ok
 }
--- a/internal/transport/entry/poll.go
+++ b/internal/transport/entry/poll.go
@@ -47,7 +47,7 @@
 		}
 		ctx, cancel := context.WithCancel(ctx)
 		e.polls[key] = cancel
-		n, _ := e.board.Number(u.Name())
+		n, _ := e.board.UpstreamNumber(u.Name())
 		p := &poller{e: e, number: n, address: u.Address()}
 		if !e.background.begin() {
 			return
--- a/internal/transport/entry/resume.go
+++ b/internal/transport/entry/resume.go
@@ -48,7 +48,7 @@
 func (e *Entry) jobOf(place cursor.Place) (*job, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n, ok := e.board.Number(place.Upstream)
+	n, ok := e.board.UpstreamNumber(place.Upstream)
 	if !ok {
 		return nil, false
 	}
