--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -5,12 +5,12 @@
 )
 
 const (
-	// NamedFor is how long a part may be fetched after it was read from its store. Under
+	// FetchLease is how long a part may be fetched after it was read from its store. Under
 	// load a fetch waits up to 2 s for the links of the store and the engine, and a part is
 	// named again only once a leader has read its store; with 2 s in all, 60 to 1,900
 	// fetches a minute came too late and their parts were read again, with 6 s none. More
 	// (10 s, 15 s) measured the same, and would hold the room of old weights for longer.
-	NamedFor = 6 * time.Second
+	FetchLease = 6 * time.Second
 	// freeMargin is waited on top of NamedFor before a part is freed, for what clocks of
 	// stores and engines differ.
 	freeMargin = time.Second
@@ -83,7 +83,7 @@
 // List takes a store's whole list, read at a clock time.
 func (b *Book) List(epoch, next uint64, held []Held, clock time.Duration) {
 	if b.mayBeLookedFor(epoch) {
-		b.openAt = clock + NamedFor + freeMargin
+		b.openAt = clock + FetchLease + freeMargin
 	}
 	if epoch != b.epoch || b.retired == nil {
 		b.retired = map[Part]time.Duration{}
@@ -144,7 +144,7 @@
 func (b *Book) Free(clock time.Duration) []Part {
 	var out []Part
 	for part, since := range b.retired {
-		if _, held := b.parts[part]; held && clock >= since+NamedFor+freeMargin {
+		if _, held := b.parts[part]; held && clock >= since+FetchLease+freeMargin {
 			out = append(out, part)
 		}
 	}
--- a/internal/coordination/keeping/choose.go
+++ b/internal/coordination/keeping/choose.go
@@ -13,7 +13,7 @@
 const (
 	// freshFor is how long what a store keeps is gone by after it was told; after that, a
 	// fetch would be thrown away before it ends more often than not.
-	freshFor = NamedFor / 2
+	freshFor = FetchLease / 2
 	// savedFor is how long a store is saved to after its leader told of it. It is shorter than
 	// the time in which a store starts anew (2 s and more): until a leader has read the store
 	// again, nothing is written there under names that others may still fetch.
--- a/internal/coordination/keeping/keeping_test.go
+++ b/internal/coordination/keeping/keeping_test.go
@@ -70,10 +70,10 @@
 // and that the store is open then.
 func rests(t *testing.T, b *keeping.Book, from time.Duration) {
 	t.Helper()
-	if b.Open(from+keeping.NamedFor) != 0 || b.Opened(from+keeping.NamedFor) != 0 {
+	if b.Open(from+keeping.FetchLease) != 0 || b.Opened(from+keeping.FetchLease) != 0 {
 		t.Error("a store is open while what was named before may be looked for")
 	}
-	after := from + 2*keeping.NamedFor
+	after := from + 2*keeping.FetchLease
 	if b.Open(after) == 0 || b.Opened(after) != b.Epoch() {
 		t.Error("a store is not open though nothing is looked for any more")
 	}
@@ -117,7 +117,7 @@
 			}
 			book.List(epoch, 0, list, clock)
 			for part := range book.Named(clock) {
-				until[part] = clock + keeping.NamedFor
+				until[part] = clock + keeping.FetchLease
 			}
 			if book.Open(clock) > 0 {
 				open = book.Opened(clock)
@@ -155,7 +155,7 @@
 			}
 		}
 		// In the end only the newest version takes room.
-		for end := clock + 2*keeping.NamedFor; clock < end; {
+		for end := clock + 2*keeping.FetchLease; clock < end; {
 			clock += 2 * time.Second
 			read()
 		}
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -17,7 +17,7 @@
 
 const (
 	// pollWait is how long a store holds a question for changes; it is well below
-	// keeping.NamedFor, and above what stores charge for as a probe (200 ms).
+	// keeping.FetchLease, and above what stores charge for as a probe (200 ms).
 	pollWait = 400 * time.Millisecond
 	// callTimeout bounds one call on top of its wait.
 	callTimeout = time.Second
@@ -181,7 +181,7 @@
 		return err
 	}
 	w.keeper.Source.PublishStore(w.store.Address, keeping.Kept{
-		Until: batch.Clock + keeping.NamedFor, Parts: w.book.Named(batch.Clock),
+		Until: batch.Clock + keeping.FetchLease, Parts: w.book.Named(batch.Clock),
 		Open: w.book.Open(batch.Clock), OpenEpoch: w.book.Opened(batch.Clock),
 	})
 	return w.free(ctx, batch.Clock)
