--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -21,8 +21,8 @@
 // Part is one part of a prompt under a salt.
 type Part struct{ Salt, ID string }
 
-// Held is a part that is whole in a store.
-type Held struct {
+// StoredPart is a part that is whole in a store.
+type StoredPart struct {
 	Part
 	Tokens int
 }
@@ -39,7 +39,7 @@
 }
 
 // Change says how many tokens of a part are kept now; 0 when it is gone.
-type Change struct{ Held }
+type Change struct{ StoredPart }
 
 // Book is what the leader knows of one store. It is not safe for concurrent use. The zero
 // value knows nothing and wants a list.
@@ -75,13 +75,13 @@
 	}
 	b.next = in.Next
 	for _, c := range in.Changes {
-		b.put(c.Held)
+		b.put(c.StoredPart)
 	}
 	return false
 }
 
 // List takes a store's whole list, read at a clock time.
-func (b *Book) List(epoch, next uint64, held []Held, clock time.Duration) {
+func (b *Book) List(epoch, next uint64, held []StoredPart, clock time.Duration) {
 	if b.mayBeLookedFor(epoch) {
 		b.openAt = clock + FetchLease + freeMargin
 	}
@@ -108,7 +108,7 @@
 	return epoch != b.epoch
 }
 
-func (b *Book) put(h Held) {
+func (b *Book) put(h StoredPart) {
 	if h.Tokens <= 0 {
 		delete(b.parts, h.Part)
 		delete(b.retired, h.Part)
--- a/internal/coordination/keeping/keeping_test.go
+++ b/internal/coordination/keeping/keeping_test.go
@@ -32,8 +32,8 @@
 }
 
 // held is one part of the model "m" with a version.
-func held(version uint64, id string, tokens int) keeping.Held {
-	return keeping.Held{Part: keeping.Part{Salt: keeping.Salt{Model: "m", Version: version}.String(), ID: id}, Tokens: tokens}
+func held(version uint64, id string, tokens int) keeping.StoredPart {
+	return keeping.StoredPart{Part: keeping.Part{Salt: keeping.Salt{Model: "m", Version: version}.String(), ID: id}, Tokens: tokens}
 }
 
 func TestBookFollowsChanges(t *testing.T) {
@@ -41,8 +41,8 @@
 	if !b.Take(keeping.Batch{Epoch: 1}) {
 		t.Fatal("an empty book wants no list")
 	}
-	b.List(1, 5, []keeping.Held{held(1, "a", 100)}, 0)
-	list := b.Take(keeping.Batch{Epoch: 1, Next: 7, Changes: []keeping.Change{{Held: held(1, "b", 20)}, {Held: held(1, "a", 0)}}})
+	b.List(1, 5, []keeping.StoredPart{held(1, "a", 100)}, 0)
+	list := b.Take(keeping.Batch{Epoch: 1, Next: 7, Changes: []keeping.Change{{StoredPart: held(1, "b", 20)}, {StoredPart: held(1, "a", 0)}}})
 	if diff := cmp.Diff(false, list); diff != "" {
 		t.Error(diff)
 	}
@@ -111,9 +111,9 @@
 		// until holds the latest time until which a part was named by any leader.
 		until := map[keeping.Part]time.Duration{}
 		read := func() {
-			var list []keeping.Held
+			var list []keeping.StoredPart
 			for part, tokens := range store {
-				list = append(list, keeping.Held{Part: part, Tokens: tokens})
+				list = append(list, keeping.StoredPart{Part: part, Tokens: tokens})
 			}
 			book.List(epoch, 0, list, clock)
 			for part := range book.Named(clock) {
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -37,7 +37,7 @@
 	// Changes waits until there are changes behind a mark, for wait at most.
 	Changes(ctx context.Context, address string, since uint64, wait time.Duration) (keeping.Batch, error)
 	// List returns everything that is whole.
-	List(ctx context.Context, address string) (epoch, next uint64, held []keeping.Held, err error)
+	List(ctx context.Context, address string) (epoch, next uint64, held []keeping.StoredPart, err error)
 	// Free frees parts, unless the store has restarted since epoch or its clock has passed
 	// until.
 	Free(ctx context.Context, address string, epoch uint64, until time.Duration, parts []keeping.Part) error
