--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -41,9 +41,9 @@
 // Change says how many tokens of a part are kept now; 0 when it is gone.
 type Change struct{ StoredPart }
 
-// Book is what the leader knows of one store. It is not safe for concurrent use. The zero
+// StoreState is what the leader knows of one store. It is not safe for concurrent use. The zero
 // value knows nothing and wants a list.
-type Book struct {
+type StoreState struct {
 	// Room is the store's size in tokens.
 	Room int
 	// Newest returns the newest version of a model's weights.
@@ -63,13 +63,13 @@
 }
 
 // Next returns the mark for the next batch.
-func (b *Book) Next() uint64 { return b.next }
+func (b *StoreState) Next() uint64 { return b.next }
 
 // Epoch returns the store's start.
-func (b *Book) Epoch() uint64 { return b.epoch }
+func (b *StoreState) Epoch() uint64 { return b.epoch }
 
 // Take takes a batch; it reports whether the store's whole list is needed instead.
-func (b *Book) Take(in Batch) (list bool) {
+func (b *StoreState) Take(in Batch) (list bool) {
 	if !b.listed || in.Epoch != b.epoch || in.Gap {
 		return true
 	}
@@ -81,7 +81,7 @@
 }
 
 // List takes a store's whole list, read at a clock time.
-func (b *Book) List(epoch, next uint64, held []StoredPart, clock time.Duration) {
+func (b *StoreState) List(epoch, next uint64, held []StoredPart, clock time.Duration) {
 	if b.mayBeLookedFor(epoch) {
 		b.openAt = clock + FetchLease + freeMargin
 	}
@@ -101,14 +101,14 @@
 // still be fetched: nothing is written under the same names until that has ended, as a fetch
 // would find a part half written. A new leader does not know what was named before, unless
 // an earlier one has told that this start is open.
-func (b *Book) mayBeLookedFor(epoch uint64) bool {
+func (b *StoreState) mayBeLookedFor(epoch uint64) bool {
 	if !b.listed {
 		return epoch != b.OpenEpoch
 	}
 	return epoch != b.epoch
 }
 
-func (b *Book) put(h StoredPart) {
+func (b *StoreState) put(h StoredPart) {
 	if h.Tokens <= 0 {
 		delete(b.parts, h.Part)
 		delete(b.retired, h.Part)
@@ -119,7 +119,7 @@
 
 // Named returns the parts that may be fetched until NamedFor after the clock, and notes
 // those that are too old for it.
-func (b *Book) Named(clock time.Duration) map[Part]int {
+func (b *StoreState) Named(clock time.Duration) map[Part]int {
 	out := make(map[Part]int, len(b.parts))
 	for part, tokens := range b.parts {
 		if !b.old(part) {
@@ -135,13 +135,13 @@
 
 // old reports whether a part was made by weights that are no longer the newest. A part
 // that nobody here made has no version, and is left alone.
-func (b *Book) old(part Part) bool {
+func (b *StoreState) old(part Part) bool {
 	model, version, ok := VersionOf(part.Salt)
 	return ok && version < b.Newest(model)
 }
 
 // Free returns the parts whose room may be freed now.
-func (b *Book) Free(clock time.Duration) []Part {
+func (b *StoreState) Free(clock time.Duration) []Part {
 	var out []Part
 	for part, since := range b.retired {
 		if _, held := b.parts[part]; held && clock >= since+FetchLease+freeMargin {
@@ -152,7 +152,7 @@
 }
 
 // Opened returns the store's start if it may be saved to, and 0 while it rests.
-func (b *Book) Opened(clock time.Duration) uint64 {
+func (b *StoreState) Opened(clock time.Duration) uint64 {
 	if clock < b.openAt {
 		return 0
 	}
@@ -160,7 +160,7 @@
 }
 
 // Open returns how many tokens may be saved.
-func (b *Book) Open(clock time.Duration) int {
+func (b *StoreState) Open(clock time.Duration) int {
 	if clock < b.openAt {
 		return 0
 	}
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -114,8 +114,8 @@
 	}
 }
 
-func (k *StoreWatcher) newBook(store deployment.Store) *keeping.Book {
-	return &keeping.Book{
+func (k *StoreWatcher) newBook(store deployment.Store) *keeping.StoreState {
+	return &keeping.StoreState{
 		Room: store.MemoryTokens, Newest: func(model string) uint64 { return k.View().Weights[model] },
 		OpenEpoch: k.View().Stores[store.Address].OpenEpoch,
 	}
@@ -126,7 +126,7 @@
 	keeper *StoreWatcher
 	store  deployment.Store
 	term   uint64
-	book   *keeping.Book
+	book   *keeping.StoreState
 	listed time.Time
 	lost   bool
 }
