--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -44,8 +44,8 @@
 // StoreState is what the leader knows of one store. It is not safe for concurrent use. The zero
 // value knows nothing and wants a list.
 type StoreState struct {
-	// Room is the store's size in tokens.
-	Room int
+	// Capacity is the store's size in tokens.
+	Capacity int
 	// Newest returns the newest version of a model's weights.
 	Newest func(model string) uint64
 	// OpenEpoch is a start of the store at which it was open for saves, as an earlier leader
@@ -168,5 +168,5 @@
 	for _, tokens := range b.parts {
 		used += (tokens + block - 1) / block * block
 	}
-	return max(b.Room-used, 0)
+	return max(b.Capacity-used, 0)
 }
