--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -46,8 +46,8 @@
 type StoreState struct {
 	// Capacity is the store's size in tokens.
 	Capacity int
-	// Newest returns the newest version of a model's weights.
-	Newest func(model string) uint64
+	// NewestVersion returns the newest version of a model's weights.
+	NewestVersion func(model string) uint64
 	// OpenEpoch is a start of the store at which it was open for saves, as an earlier leader
 	// told; 0 when none is known. A start that was once open stays so.
 	OpenEpoch uint64
@@ -137,7 +137,7 @@
 // that nobody here made has no version, and is left alone.
 func (b *StoreState) old(part Part) bool {
 	model, version, ok := VersionOf(part.Salt)
-	return ok && version < b.Newest(model)
+	return ok && version < b.NewestVersion(model)
 }
 
 // Free returns the parts whose room may be freed now.
--- a/internal/coordination/keeping/keeping_test.go
+++ b/internal/coordination/keeping/keeping_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestBookFollowsChanges(t *testing.T) {
-	b := keeping.StoreState{Capacity: 1000, Newest: func(string) uint64 { return 1 }, OpenEpoch: 1}
+	b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }, OpenEpoch: 1}
 	if !b.Take(keeping.Batch{Epoch: 1}) {
 		t.Fatal("an empty book wants no list")
 	}
@@ -60,7 +60,7 @@
 
 // A store that restarted takes nothing new until what was named before cannot be fetched.
 func TestRestartedStoreRests(t *testing.T) {
-	b := keeping.StoreState{Capacity: 1000, Newest: func(string) uint64 { return 1 }}
+	b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }}
 	b.List(1, 0, nil, 0)
 	b.List(2, 0, nil, 10*time.Second)
 	rests(t, &b, 10*time.Second)
@@ -83,11 +83,11 @@
 // earlier one told that the store has been open since the same start.
 func TestNewLeaderLetsStoresRest(t *testing.T) {
 	for _, known := range []uint64{0, 1} {
-		b := keeping.StoreState{Capacity: 1000, Newest: func(string) uint64 { return 1 }, OpenEpoch: known}
+		b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }, OpenEpoch: known}
 		b.List(2, 0, nil, time.Second)
 		rests(t, &b, time.Second)
 	}
-	b := keeping.StoreState{Capacity: 1000, Newest: func(string) uint64 { return 1 }, OpenEpoch: 2}
+	b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }, OpenEpoch: 2}
 	b.List(2, 0, nil, time.Second)
 	if diff := cmp.Diff(1000, b.Open(time.Second)); diff != "" {
 		t.Error(diff)
@@ -105,7 +105,7 @@
 		// open is the newest start of the store that a leader told to be open.
 		open := uint64(0)
 		newBook := func() *keeping.StoreState {
-			return &keeping.StoreState{Capacity: 10_000, Newest: func(string) uint64 { return newest }, OpenEpoch: open}
+			return &keeping.StoreState{Capacity: 10_000, NewestVersion: func(string) uint64 { return newest }, OpenEpoch: open}
 		}
 		book := newBook()
 		// until holds the latest time until which a part was named by any leader.
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -116,7 +116,7 @@
 
 func (k *StoreWatcher) newBook(store deployment.Store) *keeping.StoreState {
 	return &keeping.StoreState{
-		Capacity: store.MemoryTokens, Newest: func(model string) uint64 { return k.View().Weights[model] },
+		Capacity: store.MemoryTokens, NewestVersion: func(model string) uint64 { return k.View().Weights[model] },
 		OpenEpoch: k.View().Stores[store.Address].OpenEpoch,
 	}
 }
