--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -68,8 +68,8 @@
 // Epoch returns the store's start.
 func (b *StoreState) Epoch() uint64 { return b.epoch }
 
-// Take takes a batch; it reports whether the store's whole list is needed instead.
-func (b *StoreState) Take(in Batch) (list bool) {
+// ApplyBatch takes a batch; it reports whether the store's whole list is needed instead.
+func (b *StoreState) ApplyBatch(in Batch) (list bool) {
 	if !b.listed || in.Epoch != b.epoch || in.Gap {
 		return true
 	}
--- a/internal/coordination/keeping/keeping_test.go
+++ b/internal/coordination/keeping/keeping_test.go
@@ -38,11 +38,11 @@
 
 func TestBookFollowsChanges(t *testing.T) {
 	b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }, OpenEpoch: 1}
-	if !b.Take(keeping.Batch{Epoch: 1}) {
+	if !b.ApplyBatch(keeping.Batch{Epoch: 1}) {
 		t.Fatal("an empty book wants no list")
 	}
 	b.List(1, 5, []keeping.StoredPart{held(1, "a", 100)}, 0)
-	list := b.Take(keeping.Batch{Epoch: 1, Next: 7, Changes: []keeping.Change{{StoredPart: held(1, "b", 20)}, {StoredPart: held(1, "a", 0)}}})
+	list := b.ApplyBatch(keeping.Batch{Epoch: 1, Next: 7, Changes: []keeping.Change{{StoredPart: held(1, "b", 20)}, {StoredPart: held(1, "a", 0)}}})
 	if diff := cmp.Diff(false, list); diff != "" {
 		t.Error(diff)
 	}
@@ -53,7 +53,7 @@
 	if diff := cmp.Diff(1000-32, b.Open(0)); diff != "" {
 		t.Error(diff)
 	}
-	if !b.Take(keeping.Batch{Epoch: 1, Gap: true}) || !b.Take(keeping.Batch{Epoch: 2}) {
+	if !b.ApplyBatch(keeping.Batch{Epoch: 1, Gap: true}) || !b.ApplyBatch(keeping.Batch{Epoch: 2}) {
 		t.Error("a gap or a restart wants no list")
 	}
 }
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	if w.book.Take(batch) || clock.Since(w.listed) > relistAfter {
+	if w.book.ApplyBatch(batch) || clock.Since(w.listed) > relistAfter {
 		epoch, next, held, err := w.keeper.Stores.List(ctx, w.store.Address)
 		if err != nil {
 			return err
