--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -80,8 +80,8 @@
 	return false
 }
 
-// List takes a store's whole list, read at a clock time.
-func (b *StoreState) List(epoch, next uint64, held []StoredPart, clock time.Duration) {
+// ApplyList takes a store's whole list, read at a clock time.
+func (b *StoreState) ApplyList(epoch, next uint64, held []StoredPart, clock time.Duration) {
 	if b.mayBeLookedFor(epoch) {
 		b.openAt = clock + FetchLease + freeMargin
 	}
--- a/internal/coordination/keeping/keeping_test.go
+++ b/internal/coordination/keeping/keeping_test.go
@@ -41,7 +41,7 @@
 	if !b.ApplyBatch(keeping.Batch{Epoch: 1}) {
 		t.Fatal("an empty book wants no list")
 	}
-	b.List(1, 5, []keeping.StoredPart{held(1, "a", 100)}, 0)
+	b.ApplyList(1, 5, []keeping.StoredPart{held(1, "a", 100)}, 0)
 	list := b.ApplyBatch(keeping.Batch{Epoch: 1, Next: 7, Changes: []keeping.Change{{StoredPart: held(1, "b", 20)}, {StoredPart: held(1, "a", 0)}}})
 	if diff := cmp.Diff(false, list); diff != "" {
 		t.Error(diff)
@@ -61,8 +61,8 @@
 // A store that restarted takes nothing new until what was named before cannot be fetched.
 func TestRestartedStoreRests(t *testing.T) {
 	b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }}
-	b.List(1, 0, nil, 0)
-	b.List(2, 0, nil, 10*time.Second)
+	b.ApplyList(1, 0, nil, 0)
+	b.ApplyList(2, 0, nil, 10*time.Second)
 	rests(t, &b, 10*time.Second)
 }
 
@@ -84,11 +84,11 @@
 func TestNewLeaderLetsStoresRest(t *testing.T) {
 	for _, known := range []uint64{0, 1} {
 		b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }, OpenEpoch: known}
-		b.List(2, 0, nil, time.Second)
+		b.ApplyList(2, 0, nil, time.Second)
 		rests(t, &b, time.Second)
 	}
 	b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }, OpenEpoch: 2}
-	b.List(2, 0, nil, time.Second)
+	b.ApplyList(2, 0, nil, time.Second)
 	if diff := cmp.Diff(1000, b.Open(time.Second)); diff != "" {
 		t.Error(diff)
 	}
@@ -115,7 +115,7 @@
 			for part, tokens := range store {
 				list = append(list, keeping.StoredPart{Part: part, Tokens: tokens})
 			}
-			book.List(epoch, 0, list, clock)
+			book.ApplyList(epoch, 0, list, clock)
 			for part := range book.Named(clock) {
 				until[part] = clock + keeping.FetchLease
 			}
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -173,7 +173,7 @@
 		if err != nil {
 			return err
 		}
-		w.book.List(epoch, next, held, batch.Clock)
+		w.book.ApplyList(epoch, next, held, batch.Clock)
 		w.listed = clock.Now()
 	}
 	err = w.keeper.ConfirmLeadership(ctx)
