--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -117,9 +117,9 @@
 	b.parts[h.Part] = h.Tokens
 }
 
-// Named returns the parts that may be fetched until NamedFor after the clock, and notes
+// Fetchable returns the parts that may be fetched until NamedFor after the clock, and notes
 // those that are too old for it.
-func (b *StoreState) Named(clock time.Duration) map[Part]int {
+func (b *StoreState) Fetchable(clock time.Duration) map[Part]int {
 	out := make(map[Part]int, len(b.parts))
 	for part, tokens := range b.parts {
 		if !b.old(part) {
--- a/internal/coordination/keeping/keeping_test.go
+++ b/internal/coordination/keeping/keeping_test.go
@@ -46,7 +46,7 @@
 	if diff := cmp.Diff(false, list); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(map[keeping.Part]int{held(1, "b", 0).Part: 20}, b.Named(0)); diff != "" {
+	if diff := cmp.Diff(map[keeping.Part]int{held(1, "b", 0).Part: 20}, b.Fetchable(0)); diff != "" {
 		t.Error(diff)
 	}
 	// 20 tokens take two blocks of 16.
@@ -116,7 +116,7 @@
 				list = append(list, keeping.StoredPart{Part: part, Tokens: tokens})
 			}
 			book.ApplyList(epoch, 0, list, clock)
-			for part := range book.Named(clock) {
+			for part := range book.Fetchable(clock) {
 				until[part] = clock + keeping.FetchLease
 			}
 			if book.Open(clock) > 0 {
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -181,7 +181,7 @@
 		return err
 	}
 	w.keeper.Source.PublishStore(w.store.Address, keeping.Kept{
-		Until: batch.Clock + keeping.FetchLease, Parts: w.book.Named(batch.Clock),
+		Until: batch.Clock + keeping.FetchLease, Parts: w.book.Fetchable(batch.Clock),
 		Open: w.book.Open(batch.Clock), OpenEpoch: w.book.Opened(batch.Clock),
 	})
 	return w.free(ctx, batch.Clock)
