--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -140,8 +140,8 @@
 	return ok && version < b.NewestVersion(model)
 }
 
-// Free returns the parts whose room may be freed now.
-func (b *StoreState) Free(clock time.Duration) []Part {
+// Freeable returns the parts whose room may be freed now.
+func (b *StoreState) Freeable(clock time.Duration) []Part {
 	var out []Part
 	for part, since := range b.retired {
 		if _, held := b.parts[part]; held && clock >= since+FetchLease+freeMargin {
--- a/internal/coordination/keeping/keeping_test.go
+++ b/internal/coordination/keeping/keeping_test.go
@@ -122,7 +122,7 @@
 			if book.Open(clock) > 0 {
 				open = book.Opened(clock)
 			}
-			for _, part := range book.Free(clock) {
+			for _, part := range book.Freeable(clock) {
 				if clock <= until[part] {
 					t.Fatalf("%v is freed at %s, and may be fetched until %s", part, clock, until[part])
 				}
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -189,7 +189,7 @@
 
 // free frees what may be freed.
 func (w *watch) free(ctx context.Context, clock time.Duration) error {
-	parts := w.book.Free(clock)
+	parts := w.book.Freeable(clock)
 	if len(parts) == 0 {
 		return nil
 	}
