--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -151,8 +151,8 @@
 	return out
 }
 
-// Opened returns the store's start if it may be saved to, and 0 while it rests.
-func (b *StoreState) Opened(clock time.Duration) uint64 {
+// CurrentOpenEpoch returns the store's start if it may be saved to, and 0 while it rests.
+func (b *StoreState) CurrentOpenEpoch(clock time.Duration) uint64 {
 	if clock < b.openAt {
 		return 0
 	}
--- a/internal/coordination/keeping/keeping_test.go
+++ b/internal/coordination/keeping/keeping_test.go
@@ -70,11 +70,11 @@
 // and that the store is open then.
 func rests(t *testing.T, b *keeping.StoreState, from time.Duration) {
 	t.Helper()
-	if b.Open(from+keeping.FetchLease) != 0 || b.Opened(from+keeping.FetchLease) != 0 {
+	if b.Open(from+keeping.FetchLease) != 0 || b.CurrentOpenEpoch(from+keeping.FetchLease) != 0 {
 		t.Error("a store is open while what was named before may be looked for")
 	}
 	after := from + 2*keeping.FetchLease
-	if b.Open(after) == 0 || b.Opened(after) != b.Epoch() {
+	if b.Open(after) == 0 || b.CurrentOpenEpoch(after) != b.Epoch() {
 		t.Error("a store is not open though nothing is looked for any more")
 	}
 }
@@ -120,7 +120,7 @@
 				until[part] = clock + keeping.FetchLease
 			}
 			if book.Open(clock) > 0 {
-				open = book.Opened(clock)
+				open = book.CurrentOpenEpoch(clock)
 			}
 			for _, part := range book.Freeable(clock) {
 				if clock <= until[part] {
