--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -159,8 +159,8 @@
 	return b.epoch
 }
 
-// Open returns how many tokens may be saved.
-func (b *StoreState) Open(clock time.Duration) int {
+// FreeTokens returns how many tokens may be saved.
+func (b *StoreState) FreeTokens(clock time.Duration) int {
 	if clock < b.openAt {
 		return 0
 	}
--- a/internal/coordination/keeping/keeping_test.go
+++ b/internal/coordination/keeping/keeping_test.go
@@ -50,7 +50,7 @@
 		t.Error(diff)
 	}
 	// 20 tokens take two blocks of 16.
-	if diff := cmp.Diff(1000-32, b.Open(0)); diff != "" {
+	if diff := cmp.Diff(1000-32, b.FreeTokens(0)); diff != "" {
 		t.Error(diff)
 	}
 	if !b.ApplyBatch(keeping.Batch{Epoch: 1, Gap: true}) || !b.ApplyBatch(keeping.Batch{Epoch: 2}) {
@@ -70,11 +70,11 @@
 // and that the store is open then.
 func rests(t *testing.T, b *keeping.StoreState, from time.Duration) {
 	t.Helper()
-	if b.Open(from+keeping.FetchLease) != 0 || b.CurrentOpenEpoch(from+keeping.FetchLease) != 0 {
+	if b.FreeTokens(from+keeping.FetchLease) != 0 || b.CurrentOpenEpoch(from+keeping.FetchLease) != 0 {
 		t.Error("a store is open while what was named before may be looked for")
 	}
 	after := from + 2*keeping.FetchLease
-	if b.Open(after) == 0 || b.CurrentOpenEpoch(after) != b.Epoch() {
+	if b.FreeTokens(after) == 0 || b.CurrentOpenEpoch(after) != b.Epoch() {
 		t.Error("a store is not open though nothing is looked for any more")
 	}
 }
@@ -89,7 +89,7 @@
 	}
 	b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }, OpenEpoch: 2}
 	b.ApplyList(2, 0, nil, time.Second)
-	if diff := cmp.Diff(1000, b.Open(time.Second)); diff != "" {
+	if diff := cmp.Diff(1000, b.FreeTokens(time.Second)); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -119,7 +119,7 @@
 			for part := range book.Fetchable(clock) {
 				until[part] = clock + keeping.FetchLease
 			}
-			if book.Open(clock) > 0 {
+			if book.FreeTokens(clock) > 0 {
 				open = book.CurrentOpenEpoch(clock)
 			}
 			for _, part := range book.Freeable(clock) {
@@ -142,7 +142,7 @@
 				version := uint64(rapid.IntRange(int(max(newest, 2))-1, int(newest)).Draw(t, "version"))
 				h := held(version, rapid.StringMatching("[a-d]").Draw(t, "id"), 100)
 				read()
-				if book.Open(clock) == 0 {
+				if book.FreeTokens(clock) == 0 {
 					continue
 				}
 				if _, whole := store[h.Part]; !whole && clock <= until[h.Part] {
