--- a/internal/coordination/keeping/choose.go
+++ b/internal/coordination/keeping/choose.go
@@ -33,13 +33,13 @@
 // Stores is what an entry knows of stores when it chooses among them.
 type Stores struct {
 	// Kept and Declared are by the stores' addresses.
-	Kept     map[string]Kept
+	Kept     map[string]StoreContents
 	Declared map[string]deployment.Store
 	Now      time.Time
 }
 
 // Holder returns a store from which a part may be fetched, the one that is named longest.
-func (s Stores) Holder(part Part) (address string, kept Kept, ok bool) {
+func (s Stores) Holder(part Part) (address string, kept StoreContents, ok bool) {
 	for name, k := range s.Kept {
 		if k.Parts[part] > 0 && s.Now.Sub(k.At) < freshFor && k.Until > kept.Until {
 			address, kept, ok = name, k, true
--- a/internal/coordination/keeping/kept.go
+++ b/internal/coordination/keeping/kept.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Kept is what one store holds, as the leader of the control log told.
-type Kept struct {
+// StoreContents is what one store holds, as the leader of the control log told.
+type StoreContents struct {
 	// Until is the time on the clock of stores and engines until which Parts may be fetched.
 	Until time.Duration
 	// Open is how many tokens may be saved, and OpenEpoch the start of the store at which
--- a/internal/transport/fleet/follower_stores.go
+++ b/internal/transport/fleet/follower_stores.go
@@ -15,7 +15,7 @@
 
 // storesKnown is what one source told of stores. The zero value knows none.
 type storesKnown struct {
-	stores map[string]keeping.Kept
+	stores map[string]keeping.StoreContents
 	// addresses are by the source's numbers.
 	addresses map[uint32]string
 	// parts holds the parts of each store by its address.
@@ -70,7 +70,7 @@
 		return
 	}
 	if k.stores == nil {
-		k.stores = map[string]keeping.Kept{}
+		k.stores = map[string]keeping.StoreContents{}
 		k.addresses = map[uint32]string{}
 		k.parts = map[string]*partsKnown{}
 	}
@@ -119,8 +119,8 @@
 }
 
 // newestStores returns for each store what was told with the latest end.
-func newestStores(sources map[string]*knownSource) map[string]keeping.Kept {
-	out := map[string]keeping.Kept{}
+func newestStores(sources map[string]*knownSource) map[string]keeping.StoreContents {
+	out := map[string]keeping.StoreContents{}
 	for _, src := range sources {
 		for address, kept := range src.stores.stores {
 			if kept.Until > out[address].Until {
--- a/internal/transport/fleet/source_stores.go
+++ b/internal/transport/fleet/source_stores.go
@@ -44,7 +44,7 @@
 // storeFeed is one store.
 type storeFeed struct {
 	address string
-	kept    keeping.Kept
+	kept    keeping.StoreContents
 	number  uint32
 	// change is the newest change of anything but Until.
 	change uint64
@@ -60,7 +60,7 @@
 
 // PublishStore sets what a store holds. Entries are told with the other stores' news, so
 // that many stores do not wake all entries many times a second.
-func (s *Source) PublishStore(address string, kept keeping.Kept) {
+func (s *Source) PublishStore(address string, kept keeping.StoreContents) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stores.publish(address, kept, clock.Now())
@@ -75,7 +75,7 @@
 	s.news = true
 }
 
-func (f *storesFeed) publish(address string, kept keeping.Kept, now time.Time) {
+func (f *storesFeed) publish(address string, kept keeping.StoreContents, now time.Time) {
 	store := f.stores[address]
 	if store == nil || !store.left.IsZero() {
 		store = f.add(address)
@@ -140,7 +140,7 @@
 	}
 	store.left = now
 	store.change = f.log.Skip()
-	store.parts, store.gone, store.kept = nil, nil, keeping.Kept{}
+	store.parts, store.gone, store.kept = nil, nil, keeping.StoreContents{}
 	maps.DeleteFunc(f.stores, func(_ string, other *storeFeed) bool {
 		return !other.left.IsZero() && now.Sub(other.left) > goneFor
 	})
--- a/internal/transport/fleet/stores_test.go
+++ b/internal/transport/fleet/stores_test.go
@@ -32,7 +32,7 @@
 			for _, id := range ids {
 				parts[keeping.Part{ID: id}] = 10
 			}
-			source.PublishStore("store", keeping.Kept{Parts: parts})
+			source.PublishStore("store", keeping.StoreContents{Parts: parts})
 		}
 		// ask returns the parts that are told behind a mark: their tokens, and whether they
 		// are all that there are.
@@ -76,7 +76,7 @@
 	f := follow(t, a, b)
 	part := func(id string) keeping.Part { return keeping.Part{Salt: "v1", ID: id} }
 	publish := func(c *control, until time.Duration, parts map[keeping.Part]int) {
-		c.source.Load().PublishStore("store", keeping.Kept{Until: until, Open: 100, Parts: parts})
+		c.source.Load().PublishStore("store", keeping.StoreContents{Until: until, Open: 100, Parts: parts})
 	}
 	holds := func(want map[keeping.Part]int) func() bool {
 		return func() bool { return cmp.Equal(want, f.View().Stores["store"].Parts) }
@@ -106,7 +106,7 @@
 		return out
 	}
 	publish := func(address string, until time.Duration) {
-		source.PublishStore(address, keeping.Kept{Until: until, Parts: map[keeping.Part]int{{ID: "p"}: 1}})
+		source.PublishStore(address, keeping.StoreContents{Until: until, Parts: map[keeping.Part]int{{ID: "p"}: 1}})
 	}
 	publish("x", 5*time.Second)
 	publish("y", 2*time.Second)
--- a/internal/transport/fleet/view.go
+++ b/internal/transport/fleet/view.go
@@ -46,7 +46,7 @@
 
 	LoadsInterval time.Duration
 	// Stores holds what each store keeps, by its address.
-	Stores map[string]keeping.Kept
+	Stores map[string]keeping.StoreContents
 	// Evacuated holds the failure domains at whose instances no request may begin, and Returned
 	// those whose evacuation was ended, each with since when.
 	Evacuated, Returned map[string]time.Time
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	w.keeper.Source.PublishStore(w.store.Address, keeping.Kept{
+	w.keeper.Source.PublishStore(w.store.Address, keeping.StoreContents{
 		Until: batch.Clock + keeping.FetchLease, Parts: w.book.Fetchable(batch.Clock),
 		Open: w.book.FreeTokens(batch.Clock), OpenEpoch: w.book.CurrentOpenEpoch(batch.Clock),
 	})
