--- a/internal/coordination/keeping/choose.go
+++ b/internal/coordination/keeping/choose.go
@@ -57,11 +57,11 @@
 	best := 0.0
 	for _, name := range slices.Sorted(maps.Keys(s.Kept)) {
 		k := s.Kept[name]
-		if k.Open < spareTimes*tokens || s.Now.Sub(k.At) >= savedFor {
+		if k.FreeTokens < spareTimes*tokens || s.Now.Sub(k.At) >= savedFor {
 			continue
 		}
 		draw := float64(xxhash.Sum64String(name+"/"+part.ID)>>11) / (1 << 53)
-		if weight := draw * weight(s.Declared[name], k.Open, domain); weight > best {
+		if weight := draw * weight(s.Declared[name], k.FreeTokens, domain); weight > best {
 			best, address, ok = weight, name, true
 		}
 	}
--- a/internal/transport/fleet/catch_up_fixture_test.go
+++ b/internal/transport/fleet/catch_up_fixture_test.go
@@ -65,7 +65,7 @@
 // publishStores lets a control instance, as the leader does, tell what stores keep.
 func publishStores(c *control, until time.Duration, parts int) {
 	for s := range storeCount {
-		c.source.Load().PublishStore(storeAddress(s), keeping.StoreContents{Until: until, Open: 100, Parts: partsOf(s, parts/storeCount)})
+		c.source.Load().PublishStore(storeAddress(s), keeping.StoreContents{Until: until, FreeTokens: 100, Parts: partsOf(s, parts/storeCount)})
 	}
 }
 
--- a/internal/transport/fleet/catch_up_test.go
+++ b/internal/transport/fleet/catch_up_test.go
@@ -210,7 +210,7 @@
 	for part := range parts {
 		s.last[part] = s.now
 	}
-	s.source.PublishStore("store", keeping.StoreContents{Until: s.now, Open: 100, Parts: maps.Clone(parts)})
+	s.source.PublishStore("store", keeping.StoreContents{Until: s.now, FreeTokens: 100, Parts: maps.Clone(parts)})
 }
 
 // Stores change while an entry learns of them in many answers: it never names a part for
--- a/internal/transport/fleet/follower_stores.go
+++ b/internal/transport/fleet/follower_stores.go
@@ -76,7 +76,7 @@
 	}
 	k.addresses[state.Number] = state.Address
 	next := k.stores[state.Address]
-	next.Open = int(state.OpenTokens)
+	next.FreeTokens = int(state.OpenTokens)
 	next.OpenEpoch = state.OpenEpoch
 	parts := k.parts[state.Address]
 	if state.Whole || parts == nil {
--- a/internal/transport/fleet/source_stores.go
+++ b/internal/transport/fleet/source_stores.go
@@ -92,7 +92,7 @@
 			delete(store.gone, part)
 		}
 	}
-	if store.kept.Open != kept.Open || store.kept.OpenEpoch != kept.OpenEpoch {
+	if store.kept.FreeTokens != kept.FreeTokens || store.kept.OpenEpoch != kept.OpenEpoch {
 		store.change = f.log.Skip()
 	}
 	f.forgetGone(store, now)
@@ -194,7 +194,7 @@
 	state := t.states[store]
 	if state == nil {
 		state = &wire.StoreState{
-			Address: store.address, Number: store.number, OpenTokens: int64(store.kept.Open), OpenEpoch: store.kept.OpenEpoch,
+			Address: store.address, Number: store.number, OpenTokens: int64(store.kept.FreeTokens), OpenEpoch: store.kept.OpenEpoch,
 			Gone: !store.left.IsZero(),
 		}
 		t.states[store] = state
--- a/internal/transport/fleet/stores_test.go
+++ b/internal/transport/fleet/stores_test.go
@@ -76,7 +76,7 @@
 	f := follow(t, a, b)
 	part := func(id string) keeping.Part { return keeping.Part{Salt: "v1", ID: id} }
 	publish := func(c *control, until time.Duration, parts map[keeping.Part]int) {
-		c.source.Load().PublishStore("store", keeping.StoreContents{Until: until, Open: 100, Parts: parts})
+		c.source.Load().PublishStore("store", keeping.StoreContents{Until: until, FreeTokens: 100, Parts: parts})
 	}
 	holds := func(want map[keeping.Part]int) func() bool {
 		return func() bool { return cmp.Equal(want, f.View().Stores["store"].Parts) }
--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -182,7 +182,7 @@
 	}
 	w.keeper.Source.PublishStore(w.store.Address, keeping.StoreContents{
 		Until: batch.Clock + keeping.FetchLease, Parts: w.book.Fetchable(batch.Clock),
-		Open: w.book.FreeTokens(batch.Clock), OpenEpoch: w.book.CurrentOpenEpoch(batch.Clock),
+		FreeTokens: w.book.FreeTokens(batch.Clock), OpenEpoch: w.book.CurrentOpenEpoch(batch.Clock),
 	})
 	return w.free(ctx, batch.Clock)
 }
