--- a/internal/coordination/keeping/choose.go
+++ b/internal/coordination/keeping/choose.go
@@ -41,7 +41,7 @@
 // Holder returns a store from which a part may be fetched, the one that is named longest.
 func (s Stores) Holder(part Part) (address string, kept StoreContents, ok bool) {
 	for name, k := range s.Kept {
-		if k.Parts[part] > 0 && s.Now.Sub(k.At) < freshFor && k.Until > kept.Until {
+		if k.Parts[part] > 0 && s.Now.Sub(k.ReceivedAt) < freshFor && k.Until > kept.Until {
 			address, kept, ok = name, k, true
 		}
 	}
@@ -57,7 +57,7 @@
 	best := 0.0
 	for _, name := range slices.Sorted(maps.Keys(s.Kept)) {
 		k := s.Kept[name]
-		if k.FreeTokens < spareTimes*tokens || s.Now.Sub(k.At) >= savedFor {
+		if k.FreeTokens < spareTimes*tokens || s.Now.Sub(k.ReceivedAt) >= savedFor {
 			continue
 		}
 		draw := float64(xxhash.Sum64String(name+"/"+part.ID)>>11) / (1 << 53)
--- a/internal/coordination/keeping/kept.go
+++ b/internal/coordination/keeping/kept.go
@@ -12,6 +12,6 @@
 	OpenEpoch  uint64
 	// Parts holds the tokens of each part that is whole. It never changes.
 	Parts map[Part]int
-	// At is when this process learned of it.
-	At time.Time
+	// ReceivedAt is when this process learned of it.
+	ReceivedAt time.Time
 }
--- a/internal/transport/fleet/follower_stores.go
+++ b/internal/transport/fleet/follower_stores.go
@@ -54,7 +54,7 @@
 		kept := k.stores[address]
 		until := k.until - time.Duration(out.StoreAges[i])*time.Millisecond
 		if until > kept.Until {
-			kept.At = now
+			kept.ReceivedAt = now
 		}
 		kept.Until = until
 		k.stores[address] = kept
