--- a/internal/coordination/keeping/choose.go
+++ b/internal/coordination/keeping/choose.go
@@ -32,15 +32,15 @@
 
 // Stores is what an entry knows of stores when it chooses among them.
 type Stores struct {
-	// Kept and Declared are by the stores' addresses.
-	Kept     map[string]StoreContents
+	// Contents and Declared are by the stores' addresses.
+	Contents map[string]StoreContents
 	Declared map[string]deployment.Store
 	Now      time.Time
 }
 
 // Holder returns a store from which a part may be fetched, the one that is named longest.
 func (s Stores) Holder(part Part) (address string, kept StoreContents, ok bool) {
-	for name, k := range s.Kept {
+	for name, k := range s.Contents {
 		if k.Parts[part] > 0 && s.Now.Sub(k.ReceivedAt) < freshFor && k.Until > kept.Until {
 			address, kept, ok = name, k, true
 		}
@@ -55,8 +55,8 @@
 // nearly idle; short prompts got their first piece after 144 ms in the median, and so after 113.
 func (s Stores) Place(part Part, tokens int, domain string) (address string, ok bool) {
 	best := 0.0
-	for _, name := range slices.Sorted(maps.Keys(s.Kept)) {
-		k := s.Kept[name]
+	for _, name := range slices.Sorted(maps.Keys(s.Contents)) {
+		k := s.Contents[name]
 		if k.FreeTokens < spareTimes*tokens || s.Now.Sub(k.ReceivedAt) >= savedFor {
 			continue
 		}
--- a/internal/coordination/keeping/choose_test.go
+++ b/internal/coordination/keeping/choose_test.go
@@ -15,7 +15,7 @@
 func twoStores(quickOpen int) keeping.Stores {
 	now := time.Unix(0, 0)
 	return keeping.Stores{
-		Kept: map[string]keeping.StoreContents{"quick": {FreeTokens: quickOpen, ReceivedAt: now}, "slow": {FreeTokens: 700_000, ReceivedAt: now}},
+		Contents: map[string]keeping.StoreContents{"quick": {FreeTokens: quickOpen, ReceivedAt: now}, "slow": {FreeTokens: 700_000, ReceivedAt: now}},
 		Declared: map[string]deployment.Store{
 			"quick": {FailureDomain: "a", MemoryTokens: 70_000, LinkRate: 70_000},
 			"slow":  {FailureDomain: "b", MemoryTokens: 700_000, LinkRate: 28_000},
--- a/internal/transport/serving/keep.go
+++ b/internal/transport/serving/keep.go
@@ -52,7 +52,7 @@
 // stores is what is known of stores now.
 func (j *job) stores() keeping.Stores {
 	view := j.server.View()
-	return keeping.Stores{Kept: view.Stores, Declared: view.Config.Stores(), Now: clock.Now()}
+	return keeping.Stores{Contents: view.Stores, Declared: view.Config.Stores(), Now: clock.Now()}
 }
 
 func total(parts []exchange.Part) int {
