--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -55,8 +55,8 @@
 	return b
 }
 
-// Take joins a fact; it reports whether that was news.
-func (b *FactSet) Take(fact Fact) bool {
+// Merge joins a fact; it reports whether that was news.
+func (b *FactSet) Merge(fact Fact) bool {
 	k := fact.Key()
 	known, ok := b.facts[k]
 	if ok && !b.replaces(fact, known.fact) || b.toldOtherwise(fact) {
--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -31,7 +31,7 @@
 
 // take joins a fact and reports whether it was news; mu must be held.
 func (t *Tracker) take(f quarantine.Fact, o origin) bool {
-	if !t.book.Take(f) {
+	if !t.book.Merge(f) {
 		return false
 	}
 	o.passOn = o.at
--- a/internal/transport/fleet/memory.go
+++ b/internal/transport/fleet/memory.go
@@ -107,7 +107,7 @@
 		s.registry.Recall(toReport(r, "", now), now, recalledBeats*s.heartbeat)
 	}
 	for _, f := range wire.ToFacts(in.Facts, now) {
-		s.facts.Take(f)
+		s.facts.Merge(f)
 	}
 	s.wake()
 	s.log.Info().Str("event", "instances_recalled").Int("instances", len(in.Instances)).Msg("")
--- a/internal/transport/fleet/source_facts.go
+++ b/internal/transport/fleet/source_facts.go
@@ -19,7 +19,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range wire.ToFacts(in.Facts, clock.Now()) {
-		s.news = s.facts.Take(f) || s.news
+		s.news = s.facts.Merge(f) || s.news
 	}
 	s.takeFailures(in.Failures)
 	return &wire.TellResponse{}, nil
