--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -128,8 +128,8 @@
 	return facts, b.Change()
 }
 
-// Suspects reports whether any end counts against a request.
-func (b *FactSet) Suspects(d Digest) bool { return len(b.ends[d]) > 0 }
+// IsSuspected reports whether any end counts against a request.
+func (b *FactSet) IsSuspected(d Digest) bool { return len(b.ends[d]) > 0 }
 
 // Doubts reports whether an incarnation is taken for ended, which is not certain.
 func (b *FactSet) Doubts(of registry.Incarnation) bool { return b.ended[of] > 0 && !b.over[of] }
@@ -216,7 +216,7 @@
 			oldest, at, few = k, e.fact.When(), isFew
 		}
 	}
-	if !b.Suspects(fact.Key().digest) && fact.When().Sub(at) < replacedAfter {
+	if !b.IsSuspected(fact.Key().digest) && fact.When().Sub(at) < replacedAfter {
 		return false
 	}
 	b.drop(oldest)
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -112,7 +112,7 @@
 
 // Decide says whether an attempt may be sent now, while so many entries serve.
 func (b *FactSet) Decide(d Digest, entries int, now time.Time) Verdict {
-	if !b.Suspects(d) {
+	if !b.IsSuspected(d) {
 		return Send{}
 	}
 	c := b.Case(d, entries, now)
--- a/internal/coordination/quarantine/replay_test.go
+++ b/internal/coordination/quarantine/replay_test.go
@@ -30,7 +30,7 @@
 type judge interface {
 	Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict
 	Merge(quarantine.Fact) bool
-	Suspects(quarantine.Digest) bool
+	IsSuspected(quarantine.Digest) bool
 	Doubts(registry.Incarnation) bool
 	Begin(quarantine.Digest)
 	Done(quarantine.Digest)
@@ -264,7 +264,7 @@
 	e.Done(x.r.digest)
 	r.served++
 	e.answered[x.r.digest] = r.now
-	if e.Suspects(x.r.digest) {
+	if e.IsSuspected(x.r.digest) {
 		r.tell(e, quarantine.RequestSucceeded{Digest: x.r.digest, At: r.now})
 	}
 	if e.Doubts(x.of) {
--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -242,7 +242,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.remember(a.Digest, now)
-	if t.book.Suspects(a.Digest) {
+	if t.book.IsSuspected(a.Digest) {
 		t.take(quarantine.RequestSucceeded{Digest: a.Digest, At: now}, origin{at: now})
 	}
 	t.heard(a, now)
