--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -131,8 +131,8 @@
 // IsSuspected reports whether any end counts against a request.
 func (b *FactSet) IsSuspected(d Digest) bool { return len(b.ends[d]) > 0 }
 
-// Doubts reports whether an incarnation is taken for ended, which is not certain.
-func (b *FactSet) Doubts(of registry.Incarnation) bool { return b.ended[of] > 0 && !b.over[of] }
+// PresumedEnded reports whether an incarnation is taken for ended, which is not certain.
+func (b *FactSet) PresumedEnded(of registry.Incarnation) bool { return b.ended[of] > 0 && !b.over[of] }
 
 // Doubted returns the ends of which it is not certain that the instance has ended.
 func (b *FactSet) Doubted() []InstanceEnded {
--- a/internal/coordination/quarantine/replay_test.go
+++ b/internal/coordination/quarantine/replay_test.go
@@ -31,7 +31,7 @@
 	Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict
 	Merge(quarantine.Fact) bool
 	IsSuspected(quarantine.Digest) bool
-	Doubts(registry.Incarnation) bool
+	PresumedEnded(registry.Incarnation) bool
 	Begin(quarantine.Digest)
 	Done(quarantine.Digest)
 	Since(change uint64, most int) (facts []quarantine.Fact, last uint64)
@@ -267,7 +267,7 @@
 	if e.IsSuspected(x.r.digest) {
 		r.tell(e, quarantine.RequestSucceeded{Digest: x.r.digest, At: r.now})
 	}
-	if e.Doubts(x.of) {
+	if e.PresumedEnded(x.of) {
 		r.tell(e, quarantine.InstanceResponded{Incarnation: x.of, At: x.sent})
 	}
 }
--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -258,7 +258,7 @@
 
 func (t *Tracker) heard(a Attempt, now time.Time) {
 	of := a.To.Incarnation()
-	if t.book.Doubts(of) {
+	if t.book.PresumedEnded(of) {
 		t.take(quarantine.InstanceResponded{Incarnation: of, At: a.Sent}, origin{at: now})
 	}
 }
