--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -134,8 +134,8 @@
 // PresumedEnded reports whether an incarnation is taken for ended, which is not certain.
 func (b *FactSet) PresumedEnded(of registry.Incarnation) bool { return b.ended[of] > 0 && !b.over[of] }
 
-// Doubted returns the ends of which it is not certain that the instance has ended.
-func (b *FactSet) Doubted() []InstanceEnded {
+// UnconfirmedEnds returns the ends of which it is not certain that the instance has ended.
+func (b *FactSet) UnconfirmedEnds() []InstanceEnded {
 	var out []InstanceEnded
 	for _, e := range b.facts {
 		if end, ok := e.fact.(InstanceEnded); ok && !b.over[end.Incarnation] {
