--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -145,8 +145,8 @@
 	return out
 }
 
-// Over notes that an incarnation has ended for certain: another one has its id or its address.
-func (b *FactSet) Over(of registry.Incarnation) {
+// ConfirmEnd notes that an incarnation has ended for certain: another one has its id or its address.
+func (b *FactSet) ConfirmEnd(of registry.Incarnation) {
 	if b.ended[of] > 0 {
 		b.over[of] = true
 	}
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -193,7 +193,7 @@
 				b.Begin(digestOf(1))
 			}
 			for _, instance := range c.over {
-				b.Over(of(instance))
+				b.ConfirmEnd(of(instance))
 			}
 			if diff := cmp.Diff(c.want, name(b.Decide(digestOf(1), 1, at(c.now)))); diff != "" {
 				t.Error(diff)
--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -293,7 +293,7 @@
 	defer t.mu.Unlock()
 	for _, e := range t.book.UnconfirmedEnds() {
 		if superseded(registry.Instance{ID: e.Incarnation.ID, Start: e.Incarnation.Start, Address: e.Address}) {
-			t.book.Over(e.Incarnation)
+			t.book.ConfirmEnd(e.Incarnation)
 		}
 	}
 }
