--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -223,8 +223,8 @@
 	return true
 }
 
-// Digest is the same for books that know of the same, whenever they learned it.
-func (b *FactSet) Digest() uint64 { return b.sum }
+// Checksum is the same for books that know of the same, whenever they learned it.
+func (b *FactSet) Checksum() uint64 { return b.sum }
 
 func (k Key) sum() uint64 {
 	return xxhash.Sum64String(k.digest.String() + k.of.ID + strconv.FormatInt(int64(k.of.Start), 16))
--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -120,7 +120,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	facts, _ = t.book.Since(0, t.book.Len())
-	return facts, t.book.Digest()
+	return facts, t.book.Checksum()
 }
 
 // ReceiverState is what one receiver knows already. Make one with NewTold. It is not safe for concurrent use.
