--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -230,8 +230,8 @@
 	return xxhash.Sum64String(k.digest.String() + k.of.ID + strconv.FormatInt(int64(k.of.Start), 16))
 }
 
-// Holds reports whether a fact of a key is known, and Len how many facts are.
-func (b *FactSet) Holds(k Key) bool { return b.facts[k] != nil }
+// Contains reports whether a fact of a key is known, and Len how many facts are.
+func (b *FactSet) Contains(k Key) bool { return b.facts[k] != nil }
 
 // Len returns the number of facts.
 func (b *FactSet) Len() int { return len(b.facts) }
--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -337,7 +337,7 @@
 	defer t.mu.Unlock()
 	t.book.Sweep(entries, now)
 	for k := range t.learned {
-		if !t.book.Holds(k) {
+		if !t.book.Contains(k) {
 			delete(t.learned, k)
 		}
 	}
--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -169,7 +169,7 @@
 	if known.upTo == t.book.Change() {
 		return nil
 	}
-	maps.DeleteFunc(known.when, func(k quarantine.Key, _ time.Time) bool { return !t.book.Holds(k) })
+	maps.DeleteFunc(known.when, func(k quarantine.Key, _ time.Time) bool { return !t.book.Contains(k) })
 	var out []quarantine.Fact
 	upTo := known.upTo
 	complete := true
