--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -178,7 +178,7 @@
 	if k.digest == (Digest{}) {
 		return false
 	}
-	c := b.Case(k.digest, entries, now)
+	c := b.Status(k.digest, entries, now)
 	return c.Held && now.Sub(c.Until) < factLife
 }
 
--- a/internal/coordination/quarantine/mutants_test.go
+++ b/internal/coordination/quarantine/mutants_test.go
@@ -15,7 +15,7 @@
 
 // Decide holds what an instance ended under.
 func (m oneEnd) Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict {
-	c := m.Case(d, entries, now)
+	c := m.Status(d, entries, now)
 	if left := c.LastEnd.Add(mutantPause).Sub(now); c.Ends > 0 && left > 0 {
 		return quarantine.Hold{RetryAfter: left, EndsInstances: true}
 	}
@@ -46,7 +46,7 @@
 func (m allThere) Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict {
 	for _, of := range m.ended[d] {
 		for _, other := range m.at[of] {
-			if c := m.Case(other, entries, now); c.Held && now.Before(c.Until) {
+			if c := m.Status(other, entries, now); c.Held && now.Before(c.Until) {
 				return quarantine.Hold{RetryAfter: c.Until.Sub(now), EndsInstances: true}
 			}
 		}
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -115,7 +115,7 @@
 	if !b.IsSuspected(d) {
 		return Send{}
 	}
-	c := b.Case(d, entries, now)
+	c := b.Status(d, entries, now)
 	switch {
 	case c.Ends == 0, !c.Held && b.sure(c, now):
 		return Send{}
@@ -135,7 +135,7 @@
 // Counts returns how many requests are suspected and still sent, and how many are held.
 func (b *FactSet) Counts(entries int, now time.Time) (suspected, held int) {
 	for d := range b.ends {
-		switch c := b.Case(d, entries, now); {
+		switch c := b.Status(d, entries, now); {
 		case c.Held:
 			held++
 		case c.Ends > 0 && !b.sure(c, now):
@@ -161,8 +161,8 @@
 	return !c.Answered.IsZero() && now.Sub(c.Answered) < sureFor
 }
 
-// Case returns what is known of a request.
-func (b *FactSet) Case(d Digest, entries int, now time.Time) RequestStatus {
+// Status returns what is known of a request.
+func (b *FactSet) Status(d Digest, entries int, now time.Time) RequestStatus {
 	var c RequestStatus
 	if answered, ok := b.facts[Key{digest: d}]; ok {
 		c.Answered = answered.fact.When()
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -227,7 +227,7 @@
 		for i := range 2 * len(facts) {
 			b.Merge(facts[(turn+i)%len(facts)])
 		}
-		got := b.Case(digestOf(1), 1, at(5))
+		got := b.Status(digestOf(1), 1, at(5))
 		if turn == 0 {
 			want = got
 		}
@@ -288,7 +288,7 @@
 		for n, instance := range both {
 			b.Merge(quarantine.InstanceEnded{Digest: digestOf(deadly), Incarnation: of(instance), Address: instance, Sent: at(float64(n) + 0.5), At: at(float64(n + 1))})
 		}
-		return []bool{b.Case(digestOf(popular), 8, at(10)).Held, b.Case(digestOf(deadly), 8, at(10)).Held}
+		return []bool{b.Status(digestOf(popular), 8, at(10)).Held, b.Status(digestOf(deadly), 8, at(10)).Held}
 	}
 	got := [][]bool{
 		play([]string{"a", "b", "c"}, nil), play([]string{"a", "b"}, []string{"c"}), play([]string{"a", "b", "c"}, []string{"d", "e", "f"}),
--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -132,7 +132,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	verdict = t.book.Decide(d, entries, now)
-	known = t.book.Case(d, entries, now)
+	known = t.book.Status(d, entries, now)
 	if hold, held := verdict.(quarantine.Hold); held {
 		t.Metrics.hold(hold)
 		return verdict, known, func() {}
