--- a/internal/coordination/membership/domains.go
+++ b/internal/coordination/membership/domains.go
@@ -9,36 +9,39 @@
 )
 
 const (
-	// domainEvery is how many beats lie between two tellings of the failure domains by
-	// an entry that does not relay.
-	domainEvery = 2
-	// domainSilentAfter is how long a failure domain may be silent before its entries
-	// count as out of reach. News of it pass two relays and both domains' gossip, and a
-	// dead relay is replaced after suspectAfter.
+	// domainGossipTicks is the number of ticks between two messages with domain heartbeats
+	// from an entry that is not the relay of its failure domain.
+	domainGossipTicks = 2
+	// domainSilentAfter is the time without a heartbeat after which a failure domain's
+	// entries count as unreachable. It must allow for gossip within both domains, for the
+	// hops through two relays, and for suspectAfter, after which a dead relay is replaced.
 	domainSilentAfter = 24 * time.Second
-	// domainForgetAfter is how long a silent failure domain is remembered.
+	// domainForgetAfter is the time without a heartbeat after which the record of a
+	// failure domain is deleted.
 	domainForgetAfter = 2 * time.Minute
 )
 
-// Contact is how an entry is reached. It is a plain value.
+// Contact is the name and address of an entry. It is a plain value.
 type Contact struct{ Name, Address string }
 
-// DomainState lists the live entries of one failure domain, as its relay saw them. It
+// DomainState lists the live entries of one failure domain as its relay sees them. It
 // is a plain value.
 type DomainState struct {
 	Name string
-	// Beat rises with each beat of the domain's relay, whichever entry that is.
+	// Beat is the domain's heartbeat counter. The relay increments it at each tick; it
+	// continues to rise when another entry becomes the relay.
 	Beat uint64
-	// Members are ordered by name; the first is the relay.
+	// Members are sorted by name; the first is the relay.
 	Members []Contact
 }
 
-// DomainHeartbeat says that a failure domain was alive, in few bytes.
+// DomainHeartbeat is the compact form of a DomainState: the heartbeat counter, and a
+// digest of the members in place of their list.
 type DomainHeartbeat struct {
-	// ID and Digest are digests of the domain's name and of its members.
+	// ID is a digest of the domain's name.
 	ID   uint32
 	Beat uint64
-	// Digest tells whether the members are those that the receiver has.
+	// Digest is a digest of the members; the receiver compares it with its own.
 	Digest uint32
 }
 
@@ -47,11 +50,11 @@
 	beat    uint64
 	members []Contact
 	digest  uint32
-	// heard is when beat last rose here.
-	heard time.Time
+	// lastHeartbeat is the local time at which beat last rose.
+	lastHeartbeat time.Time
 }
 
-// domainID is the digest by which pulses name a failure domain.
+// domainID returns the digest that identifies a failure domain in heartbeats.
 func domainID(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 func digestOf(members []Contact) uint32 {
@@ -63,8 +66,9 @@
 	return uint32(h.Sum64())
 }
 
-// own returns this entry's failure domain with the members that it sees itself.
-func (e *Entries) own(now time.Time) *domain {
+// ownDomain returns the record of this entry's failure domain, with its members
+// refreshed from the local view.
+func (e *Entries) ownDomain(now time.Time) *domain {
 	d := e.domains[domainID(e.self.FailureDomain)]
 	d.members = d.members[:0:0]
 	for _, s := range e.Live(now) {
@@ -74,50 +78,52 @@
 	return d
 }
 
-// beatDomains beats for the own failure domain, if this entry relays, and forgets
-// those that have long been silent.
-func (e *Entries) beatDomains(now time.Time) {
-	own := e.own(now)
-	if e.relays(now) {
-		own.beat++
+// tickDomains increments the heartbeat counter of this entry's failure domain if this
+// entry is the relay, and deletes domains that have been silent for domainForgetAfter.
+func (e *Entries) tickDomains(now time.Time) {
+	ownDomain := e.ownDomain(now)
+	if e.isRelay(now) {
+		ownDomain.beat++
 	}
 	for id, d := range e.domains {
-		if d != own && now.Sub(d.heard) > domainForgetAfter {
+		if d != ownDomain && now.Sub(d.lastHeartbeat) > domainForgetAfter {
 			delete(e.domains, id)
 		}
 	}
 }
 
-// otherRelays returns the addresses of the relays of other failure domains. Silent ones
-// are tried too, as long as they are remembered: a cut ends for both sides alike.
+// otherRelays returns the addresses of the relays of other failure domains. It includes
+// silent domains until their record is deleted, because a healed partition is only
+// noticed when one side contacts the other.
 func (e *Entries) otherRelays(now time.Time) []string {
 	var out []string
-	own := e.own(now)
+	ownDomain := e.ownDomain(now)
 	for _, d := range e.domains {
-		if d != own && len(d.members) > 0 {
+		if d != ownDomain && len(d.members) > 0 {
 			out = append(out, d.members[0].Address)
 		}
 	}
 	return out
 }
 
-// meet takes an entry of another failure domain, of which nothing may be known yet.
-func (e *Entries) meet(s EntryState, now time.Time) {
+// addDomainOf adds a record for the failure domain of an entry, if there is none yet. The
+// entry is the only known member until the domain's relay sends the list.
+func (e *Entries) addDomainOf(s EntryState, now time.Time) {
 	id := domainID(s.FailureDomain)
 	if _, ok := e.domains[id]; ok || s.Leaving {
 		return
 	}
 	members := []Contact{{s.Name, s.Address}}
-	e.domains[id] = &domain{name: s.FailureDomain, members: members, digest: digestOf(members), heard: now}
+	e.domains[id] = &domain{name: s.FailureDomain, members: members, digest: digestOf(members), lastHeartbeat: now}
 }
 
-// domainPulses tells of every failure domain that is not silent, or of all that are
-// remembered.
-func (e *Entries) domainPulses(all bool, now time.Time) []DomainHeartbeat {
-	own := e.own(now)
+// domainHeartbeats returns the heartbeats of all failure domains that are not silent, or
+// of all that have a record.
+func (e *Entries) domainHeartbeats(all bool, now time.Time) []DomainHeartbeat {
+	ownDomain := e.ownDomain(now)
 	var out []DomainHeartbeat
 	for id, d := range e.domains {
-		if d == own || all || d.beat > 0 && now.Sub(d.heard) <= domainSilentAfter {
+		if d == ownDomain || all || d.beat > 0 && now.Sub(d.lastHeartbeat) <= domainSilentAfter {
 			out = append(out, DomainHeartbeat{id, d.beat, d.digest})
 		}
 	}
@@ -125,38 +131,40 @@
 	return out
 }
 
-// hearDomainPulses takes pulses from an entry in the domain from, and returns the domains
-// whose members have changed.
-func (e *Entries) hearDomainPulses(from string, pulses []DomainHeartbeat, now time.Time) (ask []uint32) {
-	own := e.own(now)
-	for _, p := range pulses {
-		d, ok := e.domains[p.ID]
+// receiveDomainHeartbeats processes heartbeats from an entry of the domain from, and
+// returns the IDs of the domains whose members are unknown or outdated here.
+func (e *Entries) receiveDomainHeartbeats(from string, heartbeats []DomainHeartbeat, now time.Time) (outdated []uint32) {
+	ownDomain := e.ownDomain(now)
+	for _, h := range heartbeats {
+		d, ok := e.domains[h.ID]
 		switch {
 		case !ok:
-			ask = append(ask, p.ID)
-		case d == own:
-			// What others say of this domain only counts on: a new relay, or a domain that
-			// was restarted whole, goes on from the highest beat that anybody knows.
-			d.beat = max(d.beat, p.Beat)
-			if p.Digest != d.digest && from != e.self.FailureDomain {
-				// Another domain knows entries of this one that are not known here.
-				ask = append(ask, p.ID)
+			outdated = append(outdated, h.ID)
+		case d == ownDomain:
+			// For this entry's own domain only the counter is taken over, so that a new
+			// relay, or a domain that was restarted as a whole, continues from the highest
+			// counter that any entry has seen.
+			d.beat = max(d.beat, h.Beat)
+			if h.Digest != d.digest && from != e.self.FailureDomain {
+				// The other domain may list entries of this one that are not known here.
+				outdated = append(outdated, h.ID)
 			}
-		case p.Beat > d.beat && p.Digest != d.digest:
-			ask = append(ask, p.ID)
-		case p.Beat > d.beat:
-			d.beat = p.Beat
-			d.heard = now
+		case h.Beat > d.beat && h.Digest != d.digest:
+			outdated = append(outdated, h.ID)
+		case h.Beat > d.beat:
+			d.beat = h.Beat
+			d.lastHeartbeat = now
 		}
 	}
-	return ask
+	return outdated
 }
 
-// hearDomain takes the members of a failure domain. Those of the own one are only
-// told, and count once they answer.
-func (e *Entries) hearDomain(s DomainState, now time.Time) {
+// receiveDomain stores the member list of a failure domain. Unknown members of this
+// entry's own domain are only queued as gossip targets; they become members when they
+// reply.
+func (e *Entries) receiveDomain(s DomainState, now time.Time) {
 	if s.Name == e.self.FailureDomain {
-		e.find(s.Members)
+		e.queueDiscovered(s.Members)
 		return
 	}
 	id := domainID(s.Name)
@@ -164,43 +172,44 @@
 	if ok && s.Beat <= d.beat {
 		return
 	}
-	e.seen[s.Name] = true
-	e.domains[id] = &domain{name: s.Name, beat: s.Beat, members: s.Members, digest: digestOf(s.Members), heard: now}
+	e.seenDomains[s.Name] = true
+	e.domains[id] = &domain{name: s.Name, beat: s.Beat, members: s.Members, digest: digestOf(s.Members), lastHeartbeat: now}
 }
 
-func (e *Entries) find(members []Contact) {
+func (e *Entries) queueDiscovered(members []Contact) {
 	for _, m := range members {
 		if _, ok := e.others[m.Name]; !ok && m.Name != e.self.Name {
-			e.found = append(e.found, m.Address)
+			e.discovered = append(e.discovered, m.Address)
 		}
 	}
 }
 
-// tellDomains returns what was asked for, as far as it is known and not silent.
-func (e *Entries) tellDomains(asked []uint32, now time.Time) Gossip {
-	own := e.own(now)
+// domainsReply returns the states of the requested domains, except those that are
+// unknown or silent.
+func (e *Entries) domainsReply(requested []uint32, now time.Time) Gossip {
+	ownDomain := e.ownDomain(now)
 	g := Gossip{States: []EntryState{e.self}}
-	for _, id := range asked {
+	for _, id := range requested {
 		d, ok := e.domains[id]
-		if ok && (d == own || now.Sub(d.heard) <= domainSilentAfter) {
+		if ok && (d == ownDomain || now.Sub(d.lastHeartbeat) <= domainSilentAfter) {
 			g.Domains = append(g.Domains, DomainState{Name: d.name, Beat: d.beat, Members: d.members})
 		}
 	}
 	return g
 }
 
-// DomainRequest returns a message that asks for failure domains.
+// DomainRequest returns a message that requests the states of failure domains.
 func (e *Entries) DomainRequest(ids []uint32) Gossip {
 	return Gossip{States: []EntryState{e.self}, Requested: ids}
 }
 
-// Contacts returns the live entries of the failure domains that near accepts, this
-// entry's own domain always among them, by name.
+// Contacts returns the live entries of the failure domains that near accepts and of this
+// entry's own domain, sorted by name.
 func (e *Entries) Contacts(near func(domain string) bool, now time.Time) []Contact {
-	own := e.own(now)
-	out := slices.Clone(own.members)
+	ownDomain := e.ownDomain(now)
+	out := slices.Clone(ownDomain.members)
 	for _, d := range e.domains {
-		if d != own && now.Sub(d.heard) <= domainSilentAfter && near(d.name) {
+		if d != ownDomain && now.Sub(d.lastHeartbeat) <= domainSilentAfter && near(d.name) {
 			out = append(out, d.members...)
 		}
 	}
@@ -208,13 +217,13 @@
 	return out
 }
 
-// SilentDomains returns the names of the failure domains that have had entries since this
-// one started, and have none in reach now.
+// SilentDomains returns every other failure domain that has had entries since this one
+// started. The value is true when none of the domain's entries are reachable now.
 func (e *Entries) SilentDomains(now time.Time) map[string]bool {
 	out := map[string]bool{}
-	for name := range e.seen {
+	for name := range e.seenDomains {
 		d, ok := e.domains[domainID(name)]
-		out[name] = !ok || now.Sub(d.heard) > domainSilentAfter || len(d.members) == 0
+		out[name] = !ok || now.Sub(d.lastHeartbeat) > domainSilentAfter || len(d.members) == 0
 	}
 	return out
 }
--- a/internal/coordination/membership/entries.go
+++ b/internal/coordination/membership/entries.go
@@ -13,60 +13,63 @@
 )
 
 const (
-	// GossipInterval is how often an entry tells others what it knows.
+	// GossipInterval is the time between two ticks, at each of which an entry sends gossip.
 	GossipInterval = time.Second
-	// gossipTargets is how many others it tells each time.
-	gossipTargets = 2
-	// suspectAfter is how long an entry may be silent before it is suspected: it
-	// then owns nothing new, but is still told and asked about.
+	// gossipFanout is the number of entries, and of other domains' relays, to which gossip
+	// is sent at each tick.
+	gossipFanout = 2
+	// suspectAfter is the time without a heartbeat after which an entry is suspected. It no
+	// longer counts as live and owns no part of the directory, but still receives gossip
+	// and is still included in it.
 	suspectAfter = 8 * time.Second
-	// deadAfter is how long it may be silent before it counts as dead.
+	// deadAfter is the time without a heartbeat after which an entry counts as dead.
 	deadAfter = 16 * time.Second
-	// newsAfter is how long a change of an entry is told in full.
-	newsAfter = 4 * time.Second
-	// seedEvery is how many beats lie between two messages of a failure domain to a
-	// seed; its entries share them out.
-	seedEvery = 8
-	// missedBeats is after how many beats without one of its own an entry knows that it was not
-	// running.
-	missedBeats = 3
-	// forgetAfter is how long a dead entry is remembered, so that old gossip does
-	// not bring it back.
+	// fullStateFor is how long after a change an entry's full state is gossiped.
+	fullStateFor = 4 * time.Second
+	// seedTicks is the number of ticks between two messages from a failure domain to a
+	// seed, by all of its entries together.
+	seedTicks = 8
+	// pauseIntervals is the delay between two ticks, in gossip intervals beyond the regular
+	// one, from which on an entry concludes that its own process was paused.
+	pauseIntervals = 3
+	// forgetAfter is the time without a heartbeat after which an entry's record is deleted.
+	// It is kept beyond deadAfter so that stale gossip does not revive a dead entry.
 	forgetAfter = time.Minute
 )
 
-// EntryState is one entry as somebody knows it. It is a plain value.
+// EntryState is the state of one entry as gossip carries it. It is a plain value.
 type EntryState struct {
 	Name, Address, FailureDomain string
-	// Start tells two runs of one entry apart; a later one is higher.
+	// Start is the entry's start time; a restarted entry has a higher one.
 	Start uint64
-	// Beat rises as long as the entry is alive.
+	// Beat is the heartbeat counter, which the entry increments at each tick.
 	Beat    uint64
 	Leaving bool
 }
 
-// Heartbeat says that an entry was alive, in few bytes.
+// Heartbeat is the compact form of an unchanged EntryState.
 type Heartbeat struct {
 	// ID is a digest of the entry's name and start.
 	ID   uint32
 	Beat uint64
 }
 
-// Gossip is what one entry tells another. It is a plain value.
+// Gossip is a message from one entry to another. It is a plain value.
 type Gossip struct {
-	// States tell of the sender, and within a failure domain of entries that changed
-	// lately and of one other.
+	// States begins with the sender. Within a failure domain it also has the entries that
+	// changed recently, and one random other.
 	States []EntryState
-	// Heartbeats tell of all in the failure domain that are not dead.
+	// Heartbeats are those of the failure domain's remaining entries that are not dead.
 	Heartbeats []Heartbeat
-	// DomainHeartbeats tell of the failure domains, Domains of those that were asked for,
-	// and Asked asks for some.
+	// DomainHeartbeats are those of the known failure domains, Domains the states of the
+	// domains that the receiver requested, and Requested the IDs of domains whose states
+	// the sender requests.
 	DomainHeartbeats []DomainHeartbeat
 	Domains          []DomainState
 	Requested        []uint32
 }
 
-// id is the digest by which pulses name an entry's run.
+// id returns the digest that identifies one run of an entry in heartbeats.
 func (s EntryState) id() uint32 {
 	var h xxhash.Digest
 	h.Reset()
@@ -75,84 +78,85 @@
 	return uint32(h.Sum64())
 }
 
-type known struct {
+type entryRecord struct {
 	state EntryState
 	id    uint32
-	// heard is when Beat last rose here, and changed when anything else did.
-	heard, changed time.Time
+	// lastHeartbeat is the local time at which Beat last rose, lastChange the time at which
+	// another field last changed.
+	lastHeartbeat, lastChange time.Time
 }
 
-// Entries is what one entry knows of the others. It is a pure state machine and
-// not safe for concurrent use.
+// Entries is one entry's view of the other entries. It is a state machine without I/O
+// and is not safe for concurrent use.
 type Entries struct {
 	self EntryState
-	// others holds entries of self's failure domain; never self, nor two runs of one
-	// entry.
-	others map[string]*known
-	// domains is what is known of each failure domain, self's included, by its digest.
+	// others holds the other entries of self's failure domain by name, each in its latest
+	// run only.
+	others map[string]*entryRecord
+	// domains holds the known failure domains by domainID, self's included.
 	domains map[uint32]*domain
-	// seen holds the names of other failure domains that have had entries.
-	seen map[string]bool
-	// found holds addresses in the failure domain that another domain named; they are
-	// told at the next beat.
-	found  []string
-	random *rand.Rand
-	// beaten is when the last beat was, zero before the first.
-	beaten time.Time
+	// seenDomains holds the names of other failure domains that have had entries.
+	seenDomains map[string]bool
+	// discovered holds addresses of unknown entries of self's failure domain that another
+	// domain listed. Gossip is sent to them at the next tick.
+	discovered []string
+	random     *rand.Rand
+	// lastTick is the time of the last tick, zero before the first.
+	lastTick time.Time
 }
 
-// NewEntries returns an entry's view that holds only itself.
+// NewEntries returns the view of an entry that knows only itself.
 func NewEntries(self EntryState, seed uint64) *Entries {
-	e := &Entries{self: self, others: map[string]*known{}, domains: map[uint32]*domain{}, seen: map[string]bool{}, random: rand.New(rand.NewPCG(seed, 0xe9717))}
+	e := &Entries{self: self, others: map[string]*entryRecord{}, domains: map[uint32]*domain{}, seenDomains: map[string]bool{}, random: rand.New(rand.NewPCG(seed, 0xe9717))}
 	e.domains[domainID(self.FailureDomain)] = &domain{name: self.FailureDomain}
 	return e
 }
 
-// Leave marks this entry as leaving; the next gossip tells.
+// Leave marks this entry as leaving. Others learn of it by the next gossip.
 func (e *Entries) Leave() { e.self.Leaving = true }
 
-// Targets says whom to tell now. It is a plain value.
+// Targets lists the addresses to send gossip to. It is a plain value.
 type Targets struct {
-	// Local are addresses in this failure domain; Remote are those of other domains and of
-	// entries of which nothing is known.
+	// Local are addresses in this failure domain. Remote are addresses in other domains,
+	// and those of entries that are not known yet.
 	Local, Remote []string
 }
 
-// Tick counts one interval and returns whom to tell now: some entries of the failure
-// domain, drawn at random; relays of other domains, if this entry relays; or the given
-// seeds while nobody is known.
+// Tick increments the heartbeat counter and returns the targets of this interval's
+// gossip: a random sample of the failure domain's entries; if this entry is the relay, a
+// sample of other domains' relays; and one of the seeds if there are no other targets.
 func (e *Entries) Tick(seeds []string, now time.Time) Targets {
 	e.self.Beat++
-	e.excuse(now)
-	for name, k := range e.others {
-		if now.Sub(k.heard) > forgetAfter {
+	e.discountPause(now)
+	for name, r := range e.others {
+		if now.Sub(r.lastHeartbeat) > forgetAfter {
 			delete(e.others, name)
 		}
 	}
-	e.beatDomains(now)
+	e.tickDomains(now)
 	var live []string
-	for _, k := range e.others {
-		if now.Sub(k.heard) <= deadAfter {
-			live = append(live, k.state.Address)
+	for _, r := range e.others {
+		if now.Sub(r.lastHeartbeat) <= deadAfter {
+			live = append(live, r.state.Address)
 		}
 	}
-	t := Targets{Local: e.draw(live, e.self.Leaving)}
-	if e.relays(now) {
-		t.Remote = e.draw(e.otherRelays(now), false)
+	t := Targets{Local: e.sample(live, e.self.Leaving)}
+	if e.isRelay(now) {
+		t.Remote = e.sample(e.otherRelays(now), false)
 	}
-	t.Remote = append(t.Remote, e.found...)
-	e.found = nil
-	// Now and then a seed is told too, so that two halves that were cut off from each
-	// other for long find together again.
-	turn := uint64(seedEvery * max(len(live), 1))
-	if len(seeds) > 0 && (len(t.Local)+len(t.Remote) == 0 || e.self.Beat%turn == 0) {
+	t.Remote = append(t.Remote, e.discovered...)
+	e.discovered = nil
+	// A seed is also contacted at intervals, so that two partitions that have deleted each
+	// other's records merge again.
+	interval := uint64(seedTicks * max(len(live), 1))
+	if len(seeds) > 0 && (len(t.Local)+len(t.Remote) == 0 || e.self.Beat%interval == 0) {
 		t.Remote = append(t.Remote, seeds[e.random.IntN(len(seeds))])
 	}
 	return t
 }
 
-// BroadcastTargets returns all others of this failure domain, and the relays of other domains if this entry
-// relays: whom to tell what must be known at once.
+// BroadcastTargets returns all other live entries of this failure domain and, if this entry is
+// the relay, the relays of other domains. It is for updates that cannot wait for gossip.
 func (e *Entries) BroadcastTargets(now time.Time) Targets {
 	var t Targets
 	for _, s := range e.Live(now) {
@@ -160,75 +164,78 @@
 			t.Local = append(t.Local, s.Address)
 		}
 	}
-	if e.relays(now) {
+	if e.isRelay(now) {
 		t.Remote = e.otherRelays(now)
 	}
 	return t
 }
 
-// excuse counts for nobody's silence what this entry missed, suspended or frozen.
-func (e *Entries) excuse(now time.Time) {
-	missed := now.Sub(e.beaten) - GossipInterval
-	if !e.beaten.IsZero() && missed >= missedBeats*GossipInterval {
-		for _, k := range e.others {
-			k.heard = k.heard.Add(min(missed, now.Sub(k.heard)))
+// discountPause detects that this process was paused, for example suspended or frozen, and
+// excludes that time from the silence of all other entries and domains.
+func (e *Entries) discountPause(now time.Time) {
+	paused := now.Sub(e.lastTick) - GossipInterval
+	if !e.lastTick.IsZero() && paused >= pauseIntervals*GossipInterval {
+		for _, r := range e.others {
+			r.lastHeartbeat = r.lastHeartbeat.Add(min(paused, now.Sub(r.lastHeartbeat)))
 		}
 		for _, d := range e.domains {
-			d.heard = d.heard.Add(min(missed, now.Sub(d.heard)))
+			d.lastHeartbeat = d.lastHeartbeat.Add(min(paused, now.Sub(d.lastHeartbeat)))
 		}
 	}
-	e.beaten = now
+	e.lastTick = now
 }
 
-// draw returns some of the addresses at random, or all.
-func (e *Entries) draw(addresses []string, all bool) []string {
+// sample returns up to gossipFanout of the addresses at random, or all in random order.
+func (e *Entries) sample(addresses []string, all bool) []string {
 	slices.Sort(addresses)
 	e.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	if len(addresses) > gossipTargets && !all {
-		return addresses[:gossipTargets]
+	if len(addresses) > gossipFanout && !all {
+		return addresses[:gossipFanout]
 	}
 	return addresses
 }
 
-// LocalGossip returns what entries of this failure domain are told now.
+// LocalGossip returns the current message for entries of this failure domain.
 func (e *Entries) LocalGossip(now time.Time) Gossip {
-	g := e.tellEntries(false, now)
-	if e.self.Beat%domainEvery == 0 || e.relays(now) {
-		g.DomainHeartbeats = e.domainPulses(false, now)
+	g := e.entryGossip(false, now)
+	if e.self.Beat%domainGossipTicks == 0 || e.isRelay(now) {
+		g.DomainHeartbeats = e.domainHeartbeats(false, now)
 	}
 	return g
 }
 
-// RemoteGossip returns what entries of other failure domains are told now.
+// RemoteGossip returns the current message for entries of other failure domains.
 func (e *Entries) RemoteGossip(now time.Time) Gossip {
-	return Gossip{States: []EntryState{e.self}, DomainHeartbeats: e.domainPulses(false, now)}
+	return Gossip{States: []EntryState{e.self}, DomainHeartbeats: e.domainHeartbeats(false, now)}
 }
 
-// tellStranger returns everything that is of use to an entry that may be new.
-func (e *Entries) tellStranger(domain string, now time.Time) Gossip {
+// fullReply returns the complete view for an entry that was not known before: the entries
+// if it is of this failure domain, and all domains.
+func (e *Entries) fullReply(domain string, now time.Time) Gossip {
 	g := Gossip{States: []EntryState{e.self}}
 	if domain == e.self.FailureDomain {
-		g = e.tellEntries(true, now)
+		g = e.entryGossip(true, now)
 	}
-	g.DomainHeartbeats = e.domainPulses(true, now)
+	g.DomainHeartbeats = e.domainHeartbeats(true, now)
 	return g
 }
 
-// tellEntries tells of the entries of this failure domain: in full of this one, of those
-// that changed lately and of one other, or of all.
-func (e *Entries) tellEntries(all bool, now time.Time) Gossip {
+// entryGossip returns a message about the entries of this failure domain. It has the full
+// states of this entry, of those that changed recently and of one random other, and the
+// heartbeats of the rest; with all set, it has the full states of all.
+func (e *Entries) entryGossip(all bool, now time.Time) Gossip {
 	g := Gossip{States: []EntryState{e.self}}
 	other := 0
 	if len(e.others) > 0 {
 		other = e.random.IntN(len(e.others))
 	}
 	for _, name := range slices.Sorted(maps.Keys(e.others)) {
-		k := e.others[name]
-		if now.Sub(k.heard) <= deadAfter {
-			if all || now.Sub(k.changed) < newsAfter || other == 0 {
-				g.States = append(g.States, k.state)
+		r := e.others[name]
+		if now.Sub(r.lastHeartbeat) <= deadAfter {
+			if all || now.Sub(r.lastChange) < fullStateFor || other == 0 {
+				g.States = append(g.States, r.state)
 			} else {
-				g.Heartbeats = append(g.Heartbeats, Heartbeat{k.id, k.state.Beat})
+				g.Heartbeats = append(g.Heartbeats, Heartbeat{r.id, r.state.Beat})
 			}
 		}
 		other--
@@ -236,100 +243,100 @@
 	return g
 }
 
-// Heard is what follows from what another entry told. It is a plain value.
-type Heard struct {
-	// Reply is for the sender; it has no states when there is nothing to say.
+// ReceiveResult is the result of processing a message. It is a plain value.
+type ReceiveResult struct {
+	// Reply is for the sender; it has no states when there is no reply.
 	Reply Gossip
-	// Outdated lists the failure domains of which the sender knows more.
+	// Outdated lists the failure domains of which the sender has newer members.
 	Outdated []uint32
 }
 
-// Receive takes what another entry told; the sender is the first of the states. One that
-// asks for failure domains is told of those; one that is new here is told everything;
-// the others hear of the rest when it is their turn.
-func (e *Entries) Receive(g Gossip, now time.Time) Heard {
+// Receive processes a message from another entry, which is the first of the states. The
+// reply has the requested failure domains if there are any, or the complete view if the
+// sender was not known; other senders get no reply, only regular gossip.
+func (e *Entries) Receive(g Gossip, now time.Time) ReceiveResult {
 	if len(g.States) == 0 {
-		return Heard{}
+		return ReceiveResult{}
 	}
 	sender := g.States[0]
-	stranger := !e.knows(sender)
+	unknown := !e.isKnown(sender)
 	for _, s := range g.States {
-		e.hearState(s, now)
+		e.receiveState(s, now)
 	}
-	byID := make(map[uint32]*known, len(e.others))
-	for _, k := range e.others {
-		byID[k.id] = k
+	byID := make(map[uint32]*entryRecord, len(e.others))
+	for _, r := range e.others {
+		byID[r.id] = r
 	}
-	for _, p := range g.Heartbeats {
-		if k, ok := byID[p.ID]; ok && p.Beat > k.state.Beat {
-			k.state.Beat = p.Beat
-			k.heard = now
+	for _, h := range g.Heartbeats {
+		if r, ok := byID[h.ID]; ok && h.Beat > r.state.Beat {
+			r.state.Beat = h.Beat
+			r.lastHeartbeat = now
 		}
 	}
 	for _, d := range g.Domains {
-		e.hearDomain(d, now)
+		e.receiveDomain(d, now)
 	}
-	out := Heard{Outdated: e.hearDomainPulses(sender.FailureDomain, g.DomainHeartbeats, now)}
+	out := ReceiveResult{Outdated: e.receiveDomainHeartbeats(sender.FailureDomain, g.DomainHeartbeats, now)}
 	switch {
 	case len(g.Requested) > 0:
-		out.Reply = e.tellDomains(g.Requested, now)
-	case stranger:
-		out.Reply = e.tellStranger(sender.FailureDomain, now)
+		out.Reply = e.domainsReply(g.Requested, now)
+	case unknown:
+		out.Reply = e.fullReply(sender.FailureDomain, now)
 	}
 	return out
 }
 
-// knows reports whether an entry is known: in this failure domain by itself, in this run;
-// in others as one of those that its domain's relay listed.
-func (e *Entries) knows(s EntryState) bool {
+// isKnown reports whether an entry is known. In this failure domain, its record must be of
+// the same run or a later one; in another domain, it must be in the domain's member list.
+func (e *Entries) isKnown(s EntryState) bool {
 	if s.FailureDomain == e.self.FailureDomain {
-		k, ok := e.others[s.Name]
-		return ok && k.state.Start >= s.Start
+		r, ok := e.others[s.Name]
+		return ok && r.state.Start >= s.Start
 	}
 	d, ok := e.domains[domainID(s.FailureDomain)]
 	return ok && slices.Contains(d.members, Contact{s.Name, s.Address})
 }
 
-func (e *Entries) hearState(s EntryState, now time.Time) {
+func (e *Entries) receiveState(s EntryState, now time.Time) {
 	if s.FailureDomain != e.self.FailureDomain {
-		e.meet(s, now)
+		e.addDomainOf(s, now)
 		return
 	}
 	if s.Name == e.self.Name {
 		return
 	}
-	k, ok := e.others[s.Name]
+	r, ok := e.others[s.Name]
 	switch {
-	case !ok || s.Start > k.state.Start:
-		e.others[s.Name] = &known{state: s, id: s.id(), heard: now, changed: now}
-	case s.Start == k.state.Start && s.Beat > k.state.Beat:
-		if s.Leaving != k.state.Leaving {
-			k.changed = now
+	case !ok || s.Start > r.state.Start:
+		e.others[s.Name] = &entryRecord{state: s, id: s.id(), lastHeartbeat: now, lastChange: now}
+	case s.Start == r.state.Start && s.Beat > r.state.Beat:
+		if s.Leaving != r.state.Leaving {
+			r.lastChange = now
 		}
-		k.state = s
-		k.heard = now
+		r.state = s
+		r.lastHeartbeat = now
 	}
 }
 
 // Live returns the entries of this failure domain that are neither leaving nor
-// suspected, this one included unless it leaves, by name.
+// suspected, sorted by name. This one is included unless it is leaving.
 func (e *Entries) Live(now time.Time) []EntryState {
 	var out []EntryState
 	if !e.self.Leaving {
 		out = append(out, e.self)
 	}
-	for _, k := range e.others {
-		if !k.state.Leaving && now.Sub(k.heard) <= suspectAfter {
-			out = append(out, k.state)
+	for _, r := range e.others {
+		if !r.state.Leaving && now.Sub(r.lastHeartbeat) <= suspectAfter {
+			out = append(out, r.state)
 		}
 	}
 	slices.SortFunc(out, func(a, b EntryState) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
-// Relay returns the live entry that follows the control log for its failure
-// domain, and speaks for it to the others: the first by name. While opinions differ
-// there may be two, which costs one more poll and nothing else.
+// Relay returns the live entry that follows the control log for its failure domain and
+// exchanges gossip with other domains: the first by name. While the views of entries
+// differ there may be two relays, which only costs one more poll.
 func (e *Entries) Relay(now time.Time) EntryState {
 	live := e.Live(now)
 	if len(live) == 0 {
@@ -338,11 +345,11 @@
 	return live[0]
 }
 
-func (e *Entries) relays(now time.Time) bool { return e.Relay(now).Name == e.self.Name }
+func (e *Entries) isRelay(now time.Time) bool { return e.Relay(now).Name == e.self.Name }
 
-// Owners returns who owns each of a number of parts of the directory, by rendezvous
-// hashing over contacts: when an entry comes or goes, only its own parts change hands.
-// Without any contact this entry owns all.
+// Owners returns the owner of each part of the directory, by rendezvous hashing over the
+// contacts: when an entry joins or leaves, only the parts that it owns are reassigned.
+// Without any contacts this entry owns all parts.
 func (e *Entries) Owners(parts int, contacts []Contact) []Contact {
 	owners := make([]Contact, parts)
 	for part := range owners {
--- a/internal/coordination/membership/entries_test.go
+++ b/internal/coordination/membership/entries_test.go
@@ -13,23 +13,23 @@
 	"github.com/shedrock/shedrock/internal/protocol/wire"
 )
 
-// crowd passes messages between entries, second by second.
-type crowd struct {
+// cluster simulates entries that exchange gossip, in steps of one second.
+type cluster struct {
 	t       *testing.T
 	now     time.Time
 	entries map[string]*membership.Entries
 	states  map[string]membership.EntryState
 	seeds   []string
-	// cut says which messages are lost.
-	cut func(from, to membership.EntryState) bool
-	// bytes counts what each entry sent and received, messages and answers.
+	// drop reports whether a message is lost.
+	drop func(from, to membership.EntryState) bool
+	// bytes counts the bytes that each entry sent and received, replies included.
 	bytes map[string]int
 }
 
-func newCrowd(t *testing.T, domains, each int) *crowd {
-	c := &crowd{
+func newCluster(t *testing.T, domains, each int) *cluster {
+	c := &cluster{
 		t: t, now: time.Unix(1000, 0), entries: map[string]*membership.Entries{}, states: map[string]membership.EntryState{},
-		cut: func(_, _ membership.EntryState) bool { return false }, bytes: map[string]int{},
+		drop: func(_, _ membership.EntryState) bool { return false }, bytes: map[string]int{},
 	}
 	for d := range domains {
 		for i := range each {
@@ -40,8 +40,8 @@
 	return c
 }
 
-// start starts an entry, or starts it again.
-func (c *crowd) start(domain, name string) {
+// start starts or restarts an entry.
+func (c *cluster) start(domain, name string) {
 	address := "10." + name + ":7080"
 	s := membership.EntryState{Name: name, Address: address, FailureDomain: domain, Start: uint64(c.now.UnixNano())}
 	c.states[address] = s
@@ -49,9 +49,9 @@
 	c.entries[address] = membership.NewEntries(s, uint64(len(c.entries)))
 }
 
-func (c *crowd) kill(name string) { delete(c.entries, c.states[name].Address) }
+func (c *cluster) kill(name string) { delete(c.entries, c.states[name].Address) }
 
-func (c *crowd) addresses() []string {
+func (c *cluster) addresses() []string {
 	var out []string
 	for a := range c.entries {
 		out = append(out, a)
@@ -60,34 +60,34 @@
 	return out
 }
 
-// send delivers a message, and the questions and answers that follow from it.
-func (c *crowd) send(from, to string, g membership.Gossip) {
+// send delivers a message, and the requests and replies that result from it.
+func (c *cluster) send(from, to string, g membership.Gossip) {
 	receiver, ok := c.entries[to]
-	if !ok || c.cut(c.states[from], c.states[to]) {
+	if !ok || c.drop(c.states[from], c.states[to]) {
 		return
 	}
 	c.count(from, to, g)
-	heard := receiver.Receive(g, c.now)
-	c.ask(to, from, heard)
-	if len(heard.Reply.States) > 0 {
-		c.count(to, from, heard.Reply)
-		c.ask(from, to, c.entries[from].Receive(heard.Reply, c.now))
+	result := receiver.Receive(g, c.now)
+	c.requestOutdated(to, from, result)
+	if len(result.Reply.States) > 0 {
+		c.count(to, from, result.Reply)
+		c.requestOutdated(from, to, c.entries[from].Receive(result.Reply, c.now))
 	}
 }
 
-func (c *crowd) ask(from, to string, heard membership.Heard) {
-	if len(heard.Outdated) > 0 {
-		c.send(from, to, c.entries[from].DomainRequest(heard.Outdated))
+func (c *cluster) requestOutdated(from, to string, result membership.ReceiveResult) {
+	if len(result.Outdated) > 0 {
+		c.send(from, to, c.entries[from].DomainRequest(result.Outdated))
 	}
 }
 
-func (c *crowd) count(from, to string, g membership.Gossip) {
+func (c *cluster) count(from, to string, g membership.Gossip) {
 	n := proto.Size(wire.FromGossip(g))
 	c.bytes[from] += n
 	c.bytes[to] += n
 }
 
-func (c *crowd) run(seconds int) {
+func (c *cluster) run(seconds int) {
 	for range seconds {
 		c.now = c.now.Add(time.Second)
 		for _, address := range c.addresses() {
@@ -105,11 +105,11 @@
 	}
 }
 
-func everywhere(string) bool { return true }
+func allDomains(string) bool { return true }
 
-// agree checks that every entry knows exactly the living, and that all choose the same
-// owners.
-func (c *crowd) agree(what string) {
+// checkViews checks that every entry knows exactly the running entries, and that all compute
+// the same owner.
+func (c *cluster) checkViews(what string) {
 	c.t.Helper()
 	var want []string
 	for a := range c.entries {
@@ -119,133 +119,135 @@
 	owner := ""
 	for _, address := range c.addresses() {
 		var got []string
-		contacts := c.entries[address].Contacts(everywhere, c.now)
+		contacts := c.entries[address].Contacts(allDomains, c.now)
 		for _, m := range contacts {
 			got = append(got, m.Address)
 		}
 		slices.Sort(got)
 		if diff := cmp.Diff(want, got); diff != "" {
-			c.t.Fatalf("%s: at %s: %s", what, address, diff)
+			c.t.Fatalf("%s: view of %s: %s", what, address, diff)
 		}
 		o := c.entries[address].Owners(1, contacts)[0].Name
 		if owner != "" && o != owner {
-			c.t.Fatalf("%s: owners %s and %s", what, owner, o)
+			c.t.Fatalf("%s: entries compute different owners, %s and %s", what, owner, o)
 		}
 		owner = o
 	}
 }
 
-func TestAllFindAllThroughRelays(t *testing.T) {
-	c := newCrowd(t, 4, 3)
+func TestDiscoveryThroughRelays(t *testing.T) {
+	c := newCluster(t, 4, 3)
 	c.run(30)
-	c.agree("start")
+	c.checkViews("start")
 	c.kill("e01-00")
 	c.kill("e02-02")
 	c.run(60)
-	c.agree("a relay and another entry dead")
+	c.checkViews("a relay and another entry dead")
 	c.start("d1", "e01-00")
 	c.run(30)
-	c.agree("the relay is back")
+	c.checkViews("the relay is restarted")
 }
 
-// TestDomainIsCutOffAndBack cuts one failure domain off: each side counts only its own,
-// and after the heal both count all.
-func TestDomainIsCutOffAndBack(t *testing.T) {
-	c := newCrowd(t, 4, 2)
+// TestDomainPartitionHeals partitions one failure domain from the others. Each side must
+// count only its own entries, and both must count all after the partition heals, also one
+// that lasted longer than the sides keep each other's records.
+func TestDomainPartitionHeals(t *testing.T) {
+	c := newCluster(t, 4, 2)
 	c.run(30)
 	for _, length := range []int{60, 600} {
-		c.cut = func(from, to membership.EntryState) bool {
+		c.drop = func(from, to membership.EntryState) bool {
 			return (from.FailureDomain == "d3") != (to.FailureDomain == "d3")
 		}
 		c.run(length)
-		if n := len(c.entries[c.states["e03-00"].Address].Contacts(everywhere, c.now)); n != 2 {
-			t.Fatalf("inside the cut %d are counted", n)
+		if n := len(c.entries[c.states["e03-00"].Address].Contacts(allDomains, c.now)); n != 2 {
+			t.Fatalf("an entry of the partitioned domain counts %d entries, want 2", n)
 		}
 		if diff := cmp.Diff(map[string]bool{"d1": false, "d2": false, "d3": true}, c.entries[c.states["e00-00"].Address].SilentDomains(c.now)); diff != "" {
 			t.Fatal(diff)
 		}
-		if n := len(c.entries[c.states["e00-00"].Address].Contacts(everywhere, c.now)); n != 6 {
-			t.Fatalf("outside the cut %d are counted", n)
+		if n := len(c.entries[c.states["e00-00"].Address].Contacts(allDomains, c.now)); n != 6 {
+			t.Fatalf("an entry of the other domains counts %d entries, want 6", n)
 		}
-		c.cut = func(_, _ membership.EntryState) bool { return false }
+		c.drop = func(_, _ membership.EntryState) bool { return false }
 		c.run(60)
-		c.agree(fmt.Sprintf("healed after %d s", length))
+		c.checkViews(fmt.Sprintf("healed after %d s", length))
 	}
 }
 
-// TestDomainRestartsWhole starts every entry of a domain again, so that its count begins
-// at 0 while the others remember more.
-func TestDomainRestartsWhole(t *testing.T) {
-	c := newCrowd(t, 3, 2)
+// TestWholeDomainRestarts restarts every entry of a domain. Its heartbeat counter begins at
+// 0 then, while the other domains remember a higher one and would ignore its updates.
+func TestWholeDomainRestarts(t *testing.T) {
+	c := newCluster(t, 3, 2)
 	c.run(300)
 	c.start("d2", "e02-00")
 	c.start("d2", "e02-01")
 	c.run(30)
-	c.agree("restarted")
+	c.checkViews("restarted")
 	c.kill("e02-00")
 	c.kill("e02-01")
 	c.run(60)
 	c.start("d2", "e02-07")
 	c.run(30)
-	c.agree("replaced by another")
+	c.checkViews("replaced by another entry")
 }
 
-// TestRestartedEntryIsToldAtOnce starts an entry again under its name and address: the
-// seed that remembers its former run must tell it of all the others.
-func TestRestartedEntryIsToldAtOnce(t *testing.T) {
-	c := newCrowd(t, 1, 20)
+// TestRestartedEntryGetsFullView restarts an entry under the same name and address. A seed
+// that still has the record of its former run must send it all other entries at once.
+func TestRestartedEntryGetsFullView(t *testing.T) {
+	c := newCluster(t, 1, 20)
 	c.run(30)
 	c.start("d0", "e00-09")
 	c.run(1)
 	if n := len(c.entries[c.states["e00-09"].Address].Live(c.now)); n != 20 {
-		t.Fatalf("it knows %d entries after a second", n)
+		t.Fatalf("the restarted entry knows %d entries after 1 s, want 20", n)
 	}
 }
 
-// TestOwnersStayInTheRegion checks that a key's owner is near.
+// TestOwnersStayInTheRegion checks that every part of the directory is owned within the region.
 func TestOwnersStayInTheRegion(t *testing.T) {
-	c := newCrowd(t, 4, 2)
+	c := newCluster(t, 4, 2)
 	c.run(30)
 	near := func(domain string) bool { return domain == "d0" || domain == "d1" }
 	e := c.entries[c.states["e00-00"].Address]
 	for _, o := range e.Owners(200, e.Contacts(near, c.now)) {
 		if s := c.states[o.Name]; !near(s.FailureDomain) {
-			t.Fatalf("%s in %s owns a key", o.Name, s.FailureDomain)
+			t.Fatalf("%s in %s, outside the region, owns a part", o.Name, s.FailureDomain)
 		}
 	}
 }
 
-// TestGossipBytes bounds what gossip costs at the letter's size: it must not grow with
-// the entries of other failure domains. The figures are printed for docs/CAPACITY.md.
+// TestGossipBytes bounds the bandwidth of gossip in a deployment of 13 failure domains with
+// 30 entries each: it must not grow with the entries of other failure domains. The figures
+// are printed for docs/CAPACITY.md.
 func TestGossipBytes(t *testing.T) {
 	var relay, other int
 	for _, size := range []struct{ domains, each int }{{1, 30}, {13, 30}} {
-		c := newCrowd(t, size.domains, size.each)
+		c := newCluster(t, size.domains, size.each)
 		c.run(40)
-		c.agree("start")
+		c.checkViews("start")
 		c.bytes = map[string]int{}
 		const seconds = 30
 		c.run(seconds)
 		relay, other = c.bytes[c.states["e00-00"].Address]/seconds, c.bytes[c.states["e00-20"].Address]/seconds
-		t.Logf("%d domains of %d: a relay %d bytes a second, another entry %d", size.domains, size.each, relay, other)
+		t.Logf("%d domains of %d entries: %d bytes/s at a relay, %d bytes/s at another entry", size.domains, size.each, relay, other)
 	}
 	if relay > 3000 || other > 3000 {
-		t.Fatal("gossip costs more than its part of 4 KB a second")
+		t.Fatal("gossip takes more than 3000 bytes/s, its share of 4 KB/s")
 	}
 }
 
-// TestNobodyIsSuspectedWithoutCause lets thirty entries a domain talk for five minutes
-// with nothing lost: none may ever be missing anywhere, or parts of the directory would
-// change hands for nothing.
-func TestNobodyIsSuspectedWithoutCause(t *testing.T) {
+// TestNoFalseSuspicions runs 30 entries in each domain for five minutes without message
+// loss. No entry may ever be missing from another's view, because its parts of the directory
+// would be reassigned needlessly.
+func TestNoFalseSuspicions(t *testing.T) {
 	const domains, each = 3, 30
-	c := newCrowd(t, domains, each)
+	c := newCluster(t, domains, each)
 	c.run(60)
 	for second := range 300 {
 		c.run(1)
 		for address, e := range c.entries {
-			if n := len(e.Contacts(everywhere, c.now)); n != domains*each {
-				t.Fatalf("after %d s %s counts %d entries", second, address, n)
+			if n := len(e.Contacts(allDomains, c.now)); n != domains*each {
+				t.Fatalf("after %d s %s counts %d entries, want 90", second, address, n)
 			}
 		}
 	}
--- a/internal/coordination/membership/heal.go
+++ b/internal/coordination/membership/heal.go
@@ -7,20 +7,20 @@
 	"github.com/shedrock/shedrock/internal/coordination/replication"
 )
 
-// Policy says how a leader keeps its group whole where no operator declares replicas.
+// Policy controls how a leader repairs its group where no operator declares replicas.
 type Policy struct {
-	// Voters is how many voters there should be: 2n+1 bear the loss of n.
+	// Voters is the target number of voters; 2n+1 voters tolerate the loss of n.
 	Voters int
-	// DeadTicks is after how many ticks of silence a voter is replaced, if somebody
-	// can take its place.
+	// DeadTicks is the number of ticks without a reply after which a voter is replaced, if
+	// there is a learner to replace it.
 	DeadTicks int
 }
 
-// forgetLearners is how many times DeadTicks a learner may be silent before it is removed;
-// it costs nothing but messages until then.
-const forgetLearners = 15
+// learnerTimeoutFactor is the time without a reply after which a learner is removed, in
+// multiples of DeadTicks. It is long because a silent learner costs nothing but messages.
+const learnerTimeoutFactor = 15
 
-// Joiner is a replica that asked to be taken into the group.
+// Joiner is a replica that requested to join the group.
 type Joiner struct {
 	ID            uint64
 	Node          replication.Node
@@ -28,16 +28,16 @@
 	FailureDomain string
 }
 
-// Heal returns the next configuration on the way to a whole group; ok is false when there
-// is nothing to do, or nothing to do yet.
+// Heal returns the next configuration on the way to a group with the target number of
+// live voters. ok is false when no change is needed, or when none is possible yet.
 //
-// Whoever asks joins as a learner. A voter that is silent, or whose folder was lost (its
-// address came back under another incarnation), gives way to a learner that has caught
-// up: the learner becomes a voter first and the old voter is removed after that, so every
-// step changes one voter at most and leaves a majority that is alive.
+// A joiner is added as a learner. A voter that does not reply, or whose data folder was
+// lost (its address came back under another incarnation), is replaced by a learner that
+// has caught up. The learner is promoted before the old voter is removed, so that every
+// step changes at most one voter and leaves a live majority.
 func Heal(g Group, joiners []Joiner, p Policy) (next []replication.Member, step string, ok bool) {
 	h := healer{Group: g, policy: p}
-	for _, f := range []func([]Joiner) ([]replication.Member, string, bool){h.admit, h.promote, h.retire, h.forget} {
+	for _, f := range []func([]Joiner) ([]replication.Member, string, bool){h.admit, h.promote, h.retire, h.removeLearner} {
 		next, step, ok = f(joiners)
 		if ok {
 			return next, step, true
@@ -51,8 +51,8 @@
 	policy Policy
 }
 
-// admit takes in one that asked. A learner whose address came back under another
-// incarnation gives way to it.
+// admit adds a joiner as a learner. It replaces a learner with the same address and another
+// incarnation.
 func (h healer) admit(joiners []Joiner) ([]replication.Member, string, bool) {
 	slices.SortFunc(joiners, func(a, b Joiner) int { return cmp.Compare(a.Node, b.Node) })
 	for _, j := range joiners {
@@ -68,17 +68,18 @@
 	return nil, "", false
 }
 
-// outdated reports whether a joiner's address belongs to a learner that answers: the
-// joiner asked in an earlier life of that address.
+// outdated reports whether a joiner's address belongs to a learner that replies. The join
+// request is then from an earlier incarnation at that address.
 func (h healer) outdated(j Joiner) bool {
 	return slices.ContainsFunc(h.Members, func(m replication.Member) bool {
 		return !m.Voter && m.Address == j.Address && h.alive(m)
 	})
 }
 
-// promote makes the learner a voter that best spreads the voters over failure domains.
+// promote makes a learner a voter if there are too few live voters. Of the learners that
+// have caught up, it takes one from the failure domain with the fewest live voters.
 func (h healer) promote([]Joiner) ([]replication.Member, string, bool) {
-	voters, living := 0, 0
+	voters, liveVoters := 0, 0
 	domains := map[string]int{}
 	for _, m := range h.Members {
 		if !m.Voter {
@@ -86,11 +87,11 @@
 		}
 		voters++
 		if h.alive(m) {
-			living++
+			liveVoters++
 			domains[m.FailureDomain]++
 		}
 	}
-	if living >= h.policy.Voters || voters > h.policy.Voters {
+	if liveVoters >= h.policy.Voters || voters > h.policy.Voters {
 		return nil, "", false
 	}
 	best := -1
@@ -110,8 +111,8 @@
 	return next, "make " + string(next[best].Node) + " a voter", true
 }
 
-// retire removes a voter that is dead once there are enough living ones without it, and
-// makes a learner of one too many.
+// retire acts when there are more voters than the policy asks for, as after a promotion. It
+// removes one that is dead, or else demotes one in a failure domain with the most voters.
 func (h healer) retire([]Joiner) ([]replication.Member, string, bool) {
 	voters := 0
 	for _, m := range h.Members {
@@ -129,7 +130,7 @@
 	}
 	for i := len(h.Members) - 1; i >= 0; i-- {
 		m := h.Members[i]
-		if m.Voter && m.Node != h.Self && h.doubled(m) {
+		if m.Voter && m.Node != h.Self && h.inLargestDomain(m) {
 			next := slices.Clone(h.Members)
 			next[i].Voter = false
 			return next, "make " + string(m.Node) + " a learner", true
@@ -138,9 +139,8 @@
 	return nil, "", false
 }
 
-// doubled reports whether another voter is in the member's failure domain, or whether no
-// failure domain has two.
-func (h healer) doubled(m replication.Member) bool {
+// inLargestDomain reports whether no failure domain has more voters than the member's.
+func (h healer) inLargestDomain(m replication.Member) bool {
 	domains := map[string]int{}
 	most := 0
 	for _, other := range h.Members {
@@ -152,17 +152,18 @@
 	return domains[m.FailureDomain] == most
 }
 
-// forget removes learners that have been silent for long.
-func (h healer) forget([]Joiner) ([]replication.Member, string, bool) {
+// removeLearner removes a learner that has not replied for learnerTimeoutFactor*DeadTicks.
+func (h healer) removeLearner([]Joiner) ([]replication.Member, string, bool) {
 	for i, m := range h.Members {
-		if !m.Voter && m.Node != h.Self && h.Silent(m.Node) > forgetLearners*h.policy.DeadTicks {
+		if !m.Voter && m.Node != h.Self && h.Silent(m.Node) > learnerTimeoutFactor*h.policy.DeadTicks {
 			return slices.Delete(slices.Clone(h.Members), i, i+1), "forget " + string(m.Node), true
 		}
 	}
 	return nil, "", false
 }
 
-// alive reports whether a member answers, and is still what its address holds.
+// alive reports whether a member replies. A voter whose address belongs to a learner with
+// another incarnation is not alive: its data folder was lost.
 func (h healer) alive(m replication.Member) bool {
 	if m.Node == h.Self {
 		return true
--- a/internal/coordination/membership/heal_test.go
+++ b/internal/coordination/membership/heal_test.go
@@ -15,8 +15,9 @@
 
 var policy = membership.Policy{Voters: 3, DeadTicks: dead}
 
-// group builds a group from "+a1" for a voter and "-a1" for a learner: the letter is the
-// failure domain and the address, the digit the life of that address. silent ones follow.
+// group builds a group from "+a1" for a voter and "-a1" for a learner. The letter is the
+// failure domain and the address, the digit the incarnation at that address. silent names
+// the nodes that do not reply.
 func group(names []string, silent ...string) membership.Group {
 	g := membership.Group{Last: 100, Self: replication.Node(names[0][1:])}
 	for _, name := range names {
@@ -25,18 +26,18 @@
 			Node: replication.Node(node), Address: node[:1], FailureDomain: node[:1], Voter: name[0] == '+',
 		})
 	}
-	quiet := map[replication.Node]bool{}
+	unresponsive := map[replication.Node]bool{}
 	for _, s := range silent {
-		quiet[replication.Node(s)] = true
+		unresponsive[replication.Node(s)] = true
 	}
 	g.Silent = func(n replication.Node) int {
-		if quiet[n] {
+		if unresponsive[n] {
 			return dead + 1
 		}
 		return 0
 	}
 	g.MatchIndex = func(n replication.Node) uint64 {
-		if quiet[n] {
+		if unresponsive[n] {
 			return 0
 		}
 		return 100
@@ -56,19 +57,19 @@
 		joiners []membership.Joiner
 		want    string
 	}{
-		{"whole", []string{"+a1", "+b1", "+c1"}, nil, nil, ""},
-		{"one asks to join", []string{"+a1", "+b1", "+c1"}, nil, []membership.Joiner{joiner("d1")}, "add learner d1"},
-		{"a spare waits", []string{"+a1", "+b1", "+c1", "-d1"}, nil, nil, ""},
-		{"a silent voter and no spare", []string{"+a1", "+b1", "+c1"}, []string{"c1"}, nil, ""},
-		{"a silent voter and a spare", []string{"+a1", "+b1", "+c1", "-d1"}, []string{"c1"}, nil, "make d1 a voter"},
-		{"a spare that is not caught up", []string{"+a1", "+b1", "+c1", "-d1"}, []string{"c1", "d1"}, nil, ""},
-		{"then the silent one goes", []string{"+a1", "+b1", "+c1", "+d1"}, []string{"c1"}, nil, "remove c1"},
-		{"a wiped voter joins anew", []string{"+a1", "+b1", "+c1"}, nil, []membership.Joiner{joiner("c2")}, "add learner c2"},
-		{"and takes its own place", []string{"+a1", "+b1", "+c1", "-c2"}, nil, nil, "make c2 a voter"},
-		{"which its old life leaves", []string{"+a1", "+b1", "+c1", "+c2"}, []string{"c1"}, nil, "remove c1"},
-		{"a wiped learner gives way", []string{"+a1", "+b1", "+c1", "-d1"}, []string{"d1"}, []membership.Joiner{joiner("d2")}, "add learner d2"},
-		{"an old wish of a learner that answers", []string{"+a1", "+b1", "+c1", "-d2"}, nil, []membership.Joiner{joiner("d1")}, ""},
-		{"one too many after a return", []string{"+a1", "+b1", "+c1", "+d1"}, nil, nil, "make d1 a learner"},
+		{"no change needed", []string{"+a1", "+b1", "+c1"}, nil, nil, ""},
+		{"a replica joins", []string{"+a1", "+b1", "+c1"}, nil, []membership.Joiner{joiner("d1")}, "add learner d1"},
+		{"a learner stays a learner", []string{"+a1", "+b1", "+c1", "-d1"}, nil, nil, ""},
+		{"a silent voter without a learner", []string{"+a1", "+b1", "+c1"}, []string{"c1"}, nil, ""},
+		{"a silent voter and a learner", []string{"+a1", "+b1", "+c1", "-d1"}, []string{"c1"}, nil, "make d1 a voter"},
+		{"a learner that has not caught up", []string{"+a1", "+b1", "+c1", "-d1"}, []string{"c1", "d1"}, nil, ""},
+		{"a silent voter after the promotion", []string{"+a1", "+b1", "+c1", "+d1"}, []string{"c1"}, nil, "remove c1"},
+		{"a wiped voter joins again", []string{"+a1", "+b1", "+c1"}, nil, []membership.Joiner{joiner("c2")}, "add learner c2"},
+		{"a wiped voter has caught up", []string{"+a1", "+b1", "+c1", "-c2"}, nil, nil, "make c2 a voter"},
+		{"the old incarnation of a wiped voter", []string{"+a1", "+b1", "+c1", "+c2"}, []string{"c1"}, nil, "remove c1"},
+		{"a wiped learner joins again", []string{"+a1", "+b1", "+c1", "-d1"}, []string{"d1"}, []membership.Joiner{joiner("d2")}, "add learner d2"},
+		{"a stale join request for a learner that replies", []string{"+a1", "+b1", "+c1", "-d2"}, nil, []membership.Joiner{joiner("d1")}, ""},
+		{"a voter too many after one returns", []string{"+a1", "+b1", "+c1", "+d1"}, nil, nil, "make d1 a learner"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -80,9 +81,9 @@
 	}
 }
 
-// Whatever is silent or wiped, a step changes one voter at most, never removes the leader,
-// and leaves a majority of voters alive if there was one; with two of three alive and a
-// spare, a few steps bring three living voters.
+// TestHealKeepsAMajority checks that a step changes at most one voter, never removes the
+// leader, and leaves a majority of the voters alive, whichever member is silent or wiped. If
+// a learner or a joiner is available, there must be three live voters after at most 8 steps.
 func TestHealKeepsAMajority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := []string{"+a1", "+b1", "+c1"}
@@ -114,14 +115,14 @@
 				members = append(members, sign+string(m.Node))
 			}
 		}
-		living := livingVoters(group(members, silent...))
-		if spares && living != 3 {
-			t.Fatalf("%d living voters in %v", living, members)
+		live := liveVoters(group(members, silent...))
+		if spares && live != 3 {
+			t.Fatalf("%d live voters in %v, want 3", live, members)
 		}
 	})
 }
 
-func livingVoters(g membership.Group) int {
+func liveVoters(g membership.Group) int {
 	n := 0
 	for _, m := range g.Members {
 		if m.Voter && g.Silent(m.Node) == 0 {
@@ -154,7 +155,7 @@
 		}
 	}
 	g.Members = next
-	if changed > 1 || !after[g.Self] || livingVoters(g) <= len(after)/2 {
-		t.Fatalf("from %v to %v", before, after)
+	if changed > 1 || !after[g.Self] || liveVoters(g) <= len(after)/2 {
+		t.Fatalf("unsafe step from voters %v to %v", before, after)
 	}
 }
--- a/internal/coordination/membership/replicas.go
+++ b/internal/coordination/membership/replicas.go
@@ -1,5 +1,6 @@
-// Package membership decides who belongs: which replica of the control log is
-// replaced next, and which entry instances of a failure domain are alive.
+// Package membership tracks the members of two groups: the replicas of the control
+// log, for which it computes the next configuration change, and the entry instances,
+// whose liveness it determines by gossip.
 package membership
 
 import (
@@ -9,41 +10,42 @@
 	"github.com/shedrock/shedrock/internal/state/declared"
 )
 
-// CaughtUpEntries is how far behind the leader a learner may be when it is made
-// a voter.
+// CaughtUpEntries is the number of log entries that a learner may lag behind the
+// leader when it is promoted to voter.
 const CaughtUpEntries = 64
 
-// Group is what a leader knows of its configuration.
+// Group is the leader's view of its replication group.
 type Group struct {
-	// Members is the configuration in force, which must be committed.
+	// Members is the current configuration, which must be committed.
 	Members []replication.Member
-	// Last is the index of the leader's last entry.
+	// Last is the index of the leader's last log entry.
 	Last uint64
-	// MatchIndex returns the highest entry durable at a member.
+	// MatchIndex returns the index of the highest log entry that is durable on a member.
 	MatchIndex func(replication.Node) uint64
-	// Self is the leader, and Silent returns for how many ticks a member has not
-	// answered it; both are needed by Heal only.
+	// Self is the leader. Silent returns the number of ticks since a member last
+	// replied to it. Only Heal uses these two.
 	Self   replication.Node
 	Silent func(replication.Node) int
 }
 
-// NextMembers returns the next configuration on the way from the present one to
-// the declared replicas; ok is false when there is nothing to do, or nothing to
-// do yet.
+// NextMembers returns the next configuration on the way from the current one to
+// the declared replicas. ok is false when no change is needed, or when none is
+// possible yet.
 //
 // A replica is replaced in three committed steps, each of which changes at most
-// one voter: the new incarnation joins as a learner; once it has caught up it
-// becomes a voter; then the old one is removed. While the old one still answers,
-// the middle step survives the loss of any one replica, which removing first
-// would not. A declared replica without an incarnation accepts the one in force.
-func NextMembers(g Group, wanted []declared.Replica) (next []replication.Member, step string, ok bool) {
-	for _, r := range wanted {
+// one voter: the new incarnation joins as a learner; once it has caught up it is
+// promoted to voter; then the old one is removed. While the old one still replies,
+// the group tolerates the loss of any one replica after the second step; removing
+// the old one first would not allow that. A declared replica without an incarnation
+// matches whichever incarnation is in the current configuration.
+func NextMembers(g Group, desired []declared.Replica) (next []replication.Member, step string, ok bool) {
+	for _, r := range desired {
 		if r.Incarnation() != "" && !has(g.Members, node(r)) {
 			return add(g.Members, r), "add learner " + r.Incarnation(), true
 		}
 	}
 	for i, m := range g.Members {
-		if !m.Voter && declaredMember(wanted, m) {
+		if !m.Voter && declaredMember(desired, m) {
 			if g.MatchIndex(m.Node)+CaughtUpEntries < g.Last {
 				return nil, "learner " + string(m.Node) + " is catching up", false
 			}
@@ -53,7 +55,7 @@
 		}
 	}
 	for i, m := range g.Members {
-		if !declaredMember(wanted, m) && len(wanted) > 0 {
+		if !declaredMember(desired, m) && len(desired) > 0 {
 			return slices.Delete(slices.Clone(g.Members), i, i+1), "remove " + string(m.Node), true
 		}
 	}
@@ -71,9 +73,9 @@
 	return append(slices.Clone(members), m)
 }
 
-// declaredMember reports whether a member is one of the wanted replicas.
-func declaredMember(wanted []declared.Replica, m replication.Member) bool {
-	return slices.ContainsFunc(wanted, func(r declared.Replica) bool {
+// declaredMember reports whether a member is one of the desired replicas.
+func declaredMember(desired []declared.Replica, m replication.Member) bool {
+	return slices.ContainsFunc(desired, func(r declared.Replica) bool {
 		return r.ID() == m.ID && (r.Incarnation() == "" || node(r) == m.Node)
 	})
 }
