--- a/internal/transport/serving/begin.go
+++ b/internal/transport/serving/begin.go
@@ -11,73 +11,75 @@
 	"github.com/shedrock/shedrock/internal/coordination/retry"
 )
 
-// lookInterval is how often it is looked at least whether the time of an engine's weights is over:
-// the timer stands still while the machine is suspended.
-const lookInterval = 500 * time.Millisecond
+// expiryCheckInterval is the longest interval between checks whether an engine's weights have
+// expired: a timer does not advance while the machine is suspended.
+const expiryCheckInterval = 500 * time.Millisecond
 
-// errTooOld says that an engine had not begun a request when the time of its weights was over.
-var errTooOld = errors.New("withdrawn: the engine has not begun it, and its weights are too old by now")
+// errWeightsExpired reports that an engine had not begun a request when its weights expired.
+var errWeightsExpired = errors.New("attempt canceled: the engine had not begun the request when its weights expired")
 
-// beginWatch ends an attempt that waits at an engine until the engine's weights are too old to
-// begin it. An engine in use may have a queue of seconds. The zero value watches nothing.
-type beginWatch struct {
-	// end returns until when the attempt may begin; ok is false while no end is known.
-	end    func() (at time.Time, ok bool)
+// weightsWatch cancels an attempt that is still queued at an engine when the engine's weights
+// become too old to begin it. A busy engine may have a queue of several seconds. The zero value
+// watches nothing.
+type weightsWatch struct {
+	// expiry returns the time until which the attempt may begin; ok is false while none is known.
+	expiry func() (at time.Time, ok bool)
 	cancel context.CancelCauseFunc
 
 	mu sync.Mutex
-	// timer is nil once the watch is over, and late says that it ended the attempt.
-	timer *time.Timer
-	late  bool
+	// timer is nil once the watch has stopped, and expired is true if it canceled the attempt.
+	timer   *time.Timer
+	expired bool
 }
 
-// watchBegin watches the present attempt, which ends with the context that it returns.
-func (j *job) watchBegin(ctx context.Context) (context.Context, *beginWatch) {
+// watchWeights starts a watch for the current attempt. The attempt must use the returned context,
+// which the watch cancels.
+func (j *job) watchWeights(ctx context.Context) (context.Context, *weightsWatch) {
 	s := j.server
 	if s.OldWeightsGrace == 0 || !j.needsWeights(s.View()) {
-		return ctx, &beginWatch{}
+		return ctx, &weightsWatch{}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	model := j.request.Prompt.Model
 	version := j.instance.Weights[model]
-	w := &beginWatch{
+	w := &weightsWatch{
 		cancel: cancel,
-		end:    func() (time.Time, bool) { return s.weightsEnd(s.View(), model, version, clock.Now()) },
+		expiry: func() (time.Time, bool) { return s.weightsExpiry(s.View(), model, version, clock.Now()) },
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(w.left(), w.look)
+	w.timer = time.AfterFunc(w.untilCheck(), w.check)
 	return ctx, w
 }
 
-// left is how long nothing need be done.
-func (w *beginWatch) left() time.Duration {
-	at, ok := w.end()
+// untilCheck returns the time until the next check is due.
+func (w *weightsWatch) untilCheck() time.Duration {
+	at, ok := w.expiry()
 	if !ok {
-		return lookInterval
+		return expiryCheckInterval
 	}
-	return min(lookInterval, max(0, clock.Until(at)))
+	return min(expiryCheckInterval, max(0, clock.Until(at)))
 }
 
-// look ends the attempt if its time is over.
-func (w *beginWatch) look() {
+// check cancels the attempt if the weights have expired, and reschedules itself otherwise.
+func (w *weightsWatch) check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.timer == nil {
 		return
 	}
-	at, ok := w.end()
+	at, ok := w.expiry()
 	if !ok || clock.Now().Before(at) {
-		w.timer.Reset(w.left())
+		w.timer.Reset(w.untilCheck())
 		return
 	}
 	w.timer = nil
-	w.late = true
-	w.cancel(errTooOld)
+	w.expired = true
+	w.cancel(errWeightsExpired)
 }
 
-// begun ends the watch: the engine has begun the request.
-func (w *beginWatch) begun() {
+// begun stops the watch because the engine has begun the request.
+func (w *weightsWatch) begun() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.timer != nil {
@@ -86,23 +88,23 @@
 	}
 }
 
-// over ends the watch and what belongs to it.
-func (w *beginWatch) over() {
+// close stops the watch and releases its context.
+func (w *weightsWatch) close() {
 	w.begun()
 	if w.cancel != nil {
 		w.cancel(nil)
 	}
 }
 
-// fired reports whether the watch ended the attempt.
-func (w *beginWatch) fired() bool {
+// fired reports whether the watch canceled the attempt.
+func (w *weightsWatch) fired() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.late
+	return w.expired
 }
 
-// withdrawn says whether an attempt ended because its engine's weights had become too old.
-func withdrawn(end retry.Result, w *beginWatch) bool {
+// canceledByWatch reports whether an attempt was canceled because its engine's weights had expired.
+func canceledByWatch(end retry.Result, w *weightsWatch) bool {
 	_, whole := end.(retry.Completed)
 	return !whole && w.fired()
 }
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -19,17 +19,17 @@
 	"github.com/shedrock/shedrock/internal/transport/ends"
 )
 
-// identify sets the request's digest. Its caller is the team, whichever of its keys it uses.
-func (j *job) identify() {
+// setDigest sets the request's digest. All keys of a team count as the same caller.
+func (j *job) setDigest() {
 	r := j.request
 	j.digest = quarantine.DigestOf(j.team.Name, []string{r.Method, r.Host, r.Target}, r.Body)
 }
 
-// permit asks whether the next attempt may be sent, as far as instances ended under the request;
-// it returns the request's end when it may not.
-func (j *job) permit() outcome.Outcome {
+// checkQuarantine decides whether the next attempt may be sent, by the instances whose processes
+// ended while they served the request. It returns the request's outcome when it may not.
+func (j *job) checkQuarantine() outcome.Outcome {
 	verdict, known, done := j.server.Ends.Begin(j.digest)
-	j.known, j.done = known, done
+	j.quarantined, j.done = known, done
 	hold, ok := verdict.(quarantine.Hold)
 	if !ok {
 		return nil
@@ -37,13 +37,13 @@
 	return j.tries.Reject(hold.RetryAfter, hold.Reason())
 }
 
-// tracked is the present attempt as ends of instances are tracked.
-func (j *job) tracked(sent time.Time) ends.Attempt {
+// trackedAttempt returns the current attempt as the tracker of instance ends records it.
+func (j *job) trackedAttempt(sent time.Time) ends.Attempt {
 	return ends.Attempt{Request: j.request.ID, Digest: j.digest, To: j.instance, Sent: sent}
 }
 
-// trackEnd tells what the end of an attempt says of its instance. gone says that it was ended
-// because another incarnation has the instance's place.
+// trackEnd reports the end of an attempt to the tracker. gone is true when the attempt was
+// canceled because another incarnation has taken the instance's id or address.
 func (j *job) trackEnd(ctx context.Context, a ends.Attempt, end retry.Result, err error, gone bool) {
 	tracker := j.server.Ends
 	switch end := end.(type) {
@@ -63,31 +63,31 @@
 		case gone:
 			tracker.RecordSuperseded(a)
 		case view.Lives(a.To):
-			tracker.RecordBroken(ctx, a, j.asker(err))
+			tracker.RecordBroken(ctx, a, j.refusalProbe(err))
 		case view.Superseded()(a.To):
 			tracker.RecordSuperseded(a)
 		default:
-			// Its end was planned, or it had fallen silent before.
+			// The instance shut down as planned, or had stopped sending heartbeats before.
 		}
 	}
 }
 
-// asker returns what asks whether an instance refuses connections, if an attempt ended because
-// its connection closed.
-func (j *job) asker(err error) ends.RefusalProbe {
-	if !closed(err) {
+// refusalProbe returns the probe that tests whether an instance refuses connections, or nil unless
+// the attempt ended because its connection closed.
+func (j *job) refusalProbe(err error) ends.RefusalProbe {
+	if !connectionClosed(err) {
 		return nil
 	}
 	return j.server.Upstreams.Refuses
 }
 
-// closed reports whether an attempt ended because the other side closed the connection.
-func closed(err error) bool {
+// connectionClosed reports whether an attempt ended because the other side closed the connection.
+func connectionClosed(err error) bool {
 	return slices.ContainsFunc([]error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE}, func(of error) bool { return errors.Is(err, of) })
 }
 
-// answersItself reports whether a reply is the instance's own word.
-func answersItself(reply exchange.Reply) bool {
+// fromInstance reports whether a reply was sent by the instance that the attempt was addressed to.
+func fromInstance(reply exchange.Reply) bool {
 	switch reply := reply.(type) {
 	case exchange.Whole, exchange.Stream:
 		return true
@@ -97,8 +97,9 @@
 	return false
 }
 
-// knownEnds adds to a line how many instances ended under the request, as far as is known.
-func knownEnds(line *log.Entry, c quarantine.RequestStatus) *log.Entry {
+// addQuarantine adds to a log line how many instances are known to have ended while they served
+// the request, and whether it is held.
+func addQuarantine(line *log.Entry, c quarantine.RequestStatus) *log.Entry {
 	if c.Ends == 0 {
 		return line
 	}
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -20,34 +20,35 @@
 )
 
 const (
-	// leastShare is the part of its objective that a request must have left to be sent once
-	// more: with less, an instance has no time to do anything.
-	leastShare = 10
-	// notReadyAfter is when to come back to a process that knows no configuration yet.
-	notReadyAfter = 500 * time.Millisecond
-	// startHold is for how long a request is held that comes before the configuration is known, and
-	// startShare which part of the caller's time that may take: after a loss of power everything starts
-	// at once, and a configuration is in force some tenths of a second after a process runs. Who has
-	// little time is better told at once when to come back.
-	startHold  = 400 * time.Millisecond
-	startShare = 10
-	// startTime is how long after its start a process may be without a configuration for that reason.
-	startTime = 2 * time.Second
-	// startLook is how often it is looked whether there is one.
-	startLook = 10 * time.Millisecond
+	// resendDivisor sets the time that must remain until the deadline for a request to be sent again:
+	// the route's objective divided by this. With less, an instance cannot respond in time.
+	resendDivisor = 10
+	// notReadyRetryAfter is the Retry-After of a process that has no configuration yet.
+	notReadyRetryAfter = 500 * time.Millisecond
+	// startupHold is how long a request is held that arrives before the configuration is known, and
+	// startupHoldDivisor limits the hold to a fraction of the caller's timeout. After a power loss all
+	// processes start at the same time, and a configuration is in force some tenths of a second after
+	// a process starts. A caller with a short timeout is better served by an immediate Retry-After.
+	startupHold        = 400 * time.Millisecond
+	startupHoldDivisor = 10
+	// startupWindow is the time after the process start in which requests are held.
+	startupWindow = 2 * time.Second
+	// startupPollInterval is how often a held request checks for a configuration.
+	startupPollInterval = 10 * time.Millisecond
 )
 
-// job is one request on its way.
+// job is the state of one request while it is served.
 type job struct {
 	server  *Server
 	request *exchange.Request
 	sink    Sink
 
-	// digest names all requests that are the same; known is what was known of ends of instances
-	// under them when the last attempt was permitted or held, and done ends the permission.
-	digest quarantine.Digest
-	known  quarantine.RequestStatus
-	done   func()
+	// digest identifies all identical requests. quarantined is the quarantine state of the digest
+	// when the last attempt was permitted or held, and done must be called when a permitted attempt
+	// has ended.
+	digest      quarantine.Digest
+	quarantined quarantine.RequestStatus
+	done        func()
 
 	version  uint64
 	route    deployment.Route
@@ -57,43 +58,43 @@
 	deadline time.Time
 	tries    retry.RequestAttempts
 	tried    []registry.Incarnation
-	// instance is that of the present attempt, and number counts the attempts.
+	// instance is the instance of the current attempt, and number counts the attempts.
 	instance registry.Instance
 	number   int
-	// began is true once the head of a stream was passed on, and last is the number of
-	// the last event passed on.
-	began bool
-	last  uint64
-	// first is when the caller got the first byte.
-	first time.Time
-	// fetch and save are how many parts the last attempt named stores for.
-	fetch, save int
-	// room is the free memory of the last attempt's engine as far as it was known, or of all
-	// engines with room when there was too little.
-	room known
-	// sent is what the last attempt's instance had said of itself.
-	condition conditionKnown
-	// weights is what decided on the weights of the last attempt.
-	weights weightsKnown
-	// spare is a failure that an instance answered, for when no attempt does better.
-	spare *exchange.Whole
+	// headSent is true once the head of a stream was forwarded, and lastEvent is the number of
+	// the last event that was forwarded.
+	headSent  bool
+	lastEvent uint64
+	// firstByteAt is when the first byte was sent to the caller.
+	firstByteAt time.Time
+	// fetchParts and saveParts count the prompt parts for which the last attempt named a store.
+	fetchParts, saveParts int
+	// memory is the free memory of the last attempt's engine if it was known, or, if the request was
+	// refused for lack of memory, of all engines with room.
+	memory freeMemory
+	// condition is what the last attempt's instance had reported about itself.
+	condition conditionSnapshot
+	// weights is the state by which the weight version of the last attempt was chosen.
+	weights weightsSnapshot
+	// fallback is a 5xx response of an instance, sent to the caller if no later attempt succeeds.
+	fallback *exchange.Whole
 }
 
-// admit finds the route, the team and the service; it reports false when the request has
-// had its end.
+// admit finds the route, the team and the service. It returns false if it has already refused the
+// request.
 func (j *job) admit(ctx context.Context) bool {
 	r := j.request
 	if r.Left {
-		j.finish(outcome.NotRun{Reason: outcome.ReasonCallerLeft})
+		j.refuse(outcome.NotRun{Reason: outcome.ReasonCallerLeft})
 		return false
 	}
 	config := j.awaitConfig(ctx)
 	if ctx.Err() != nil {
-		j.finish(outcome.NotRun{Reason: outcome.ReasonCallerLeft})
+		j.refuse(outcome.NotRun{Reason: outcome.ReasonCallerLeft})
 		return false
 	}
 	if config == nil {
-		j.finish(outcome.NotRun{RetryAfter: notReadyAfter, Reason: outcome.ReasonNotReady})
+		j.refuse(outcome.NotRun{RetryAfter: notReadyRetryAfter, Reason: outcome.ReasonNotReady})
 		return false
 	}
 	j.version = config.Version
@@ -111,33 +112,33 @@
 	if config.Limits.BodyBytes > 0 && len(r.Body) > config.Limits.BodyBytes {
 		return j.deny(BodyTooLarge)
 	}
-	j.identify()
+	j.setDigest()
 	j.urgency = config.Urgency(j.team, j.route)
 	j.service = j.route.Service(rand.Float64())
 	j.deadline = r.Arrived.Add(min(j.route.Timeout, r.Patience()))
 	j.tries = retry.RequestAttempts{MaxAttempts: max(1, j.route.Attempts), Idempotent: j.route.Repeats(), Streamed: j.route.Kind == deployment.Stream}
-	j.last = r.After
+	j.lastEvent = r.After
 	j.server.mu.Lock()
 	j.server.window(j.service).CountRequest(clock.Now())
 	j.server.mu.Unlock()
 	return true
 }
 
-// awaitConfig returns the configuration in force, or nil when there is none. While the process starts
-// it waits for one for as long as that is surely better for the caller than to come again.
+// awaitConfig returns the configuration in force, or nil when there is none. During startup it waits
+// for one, but never so long that a retry would serve the caller better.
 func (j *job) awaitConfig(ctx context.Context) *deployment.Config {
 	s := j.server
 	config := s.View().Config
-	if config != nil || clock.Since(s.began) > startTime {
+	if config != nil || clock.Since(s.startedAt) > startupWindow {
 		return config
 	}
-	hold, cancel := context.WithTimeout(ctx, min(startHold, j.request.Patience()/startShare))
+	hold, cancel := context.WithTimeout(ctx, min(startupHold, j.request.Patience()/startupHoldDivisor))
 	defer cancel()
-	look := time.NewTicker(startLook)
-	defer look.Stop()
+	poll := time.NewTicker(startupPollInterval)
+	defer poll.Stop()
 	for s.View().Config == nil && hold.Err() == nil {
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-hold.Done():
 		}
 	}
@@ -150,7 +151,7 @@
 	return false
 }
 
-// run makes attempts until the request has its end.
+// run sends attempts until the request has an outcome.
 func (j *job) run(ctx context.Context) {
 	var step retry.Step = retry.Dispatch{}
 	for {
@@ -158,25 +159,25 @@
 		switch next := step.(type) {
 		case retry.Dispatch, retry.Resume:
 			if ctx.Err() == context.Canceled {
-				j.stop(outcome.CallerGone)
+				j.conclude(outcome.CallerGone)
 				return
 			}
 			if o := j.place(); o != nil {
-				j.stop(o)
+				j.conclude(o)
 				return
 			}
 			end = j.attempt(ctx)
 		case retry.Stop:
-			j.stop(next.Outcome)
+			j.conclude(next.Outcome)
 			return
 		}
-		step = j.tries.Next(end, j.may)
+		step = j.tries.Next(end, j.mayResend)
 	}
 }
 
-// may asks for one more send within the allowance of all entries.
-func (j *job) may() bool {
-	if clock.Until(j.deadline) < j.route.Objective/leastShare {
+// mayResend takes one resend from the allowance that all entries share, if there is time for it.
+func (j *job) mayResend() bool {
+	if clock.Until(j.deadline) < j.route.Objective/resendDivisor {
 		return false
 	}
 	entries := j.server.View().Entries
@@ -185,37 +186,37 @@
 	return j.server.window(j.service).Take(clock.Now(), entries)
 }
 
-// attempt sends the request once and passes the answer on.
+// attempt sends the request once and forwards the response.
 func (j *job) attempt(ctx context.Context) retry.Result {
-	began := clock.Now()
-	tracked, over := j.track(ctx)
-	defer over()
-	watched, watch := j.watchBegin(tracked)
-	defer watch.over()
+	sentAt := clock.Now()
+	trackedCtx, release := j.track(ctx)
+	defer release()
+	watchedCtx, watch := j.watchWeights(trackedCtx)
+	defer watch.close()
 	defer j.done()
-	reply := j.server.Upstreams.Send(watched, j.outgoing())
-	heard := clock.Now()
-	track := j.tracked(began)
-	j.noteHeard(reply, track, heard)
-	end, err := j.pass(reply, watch)
-	if withdrawn(end, watch) {
-		err = errTooOld
+	reply := j.server.Upstreams.Send(watchedCtx, j.newAttempt())
+	respondedAt := clock.Now()
+	tracked := j.trackedAttempt(sentAt)
+	j.recordResponse(reply, tracked, respondedAt)
+	end, err := j.forward(reply, watch)
+	if canceledByWatch(end, watch) {
+		err = errWeightsExpired
 	}
-	gone := superseded(tracked)
+	gone := superseded(trackedCtx)
 	if gone {
 		err = errSuperseded
 	}
 	if _, whole := end.(retry.Completed); !whole && ctx.Err() == context.Canceled {
-		// The caller's leaving closed the connection: that says nothing of the instance.
+		// The connection was closed because the caller disconnected, not by the instance.
 		end = retry.CallerGone{}
 	}
-	if !withdrawn(end, watch) {
-		j.trackEnd(ctx, track, end, err, gone)
+	if !canceledByWatch(end, watch) {
+		j.trackEnd(ctx, tracked, end, err, gone)
 	}
 	result := balance.Result{}
 	switch end := end.(type) {
 	case retry.Completed:
-		result.Latency = heard.Sub(began)
+		result.Latency = respondedAt.Sub(sentAt)
 		result.Failed = end.Status >= 500
 	case retry.Unreached, retry.Misdirected:
 		result.Failed, result.Unreachable, result.TimedOut = true, true, timedOut(reply, err)
@@ -224,37 +225,37 @@
 	case retry.CallerGone:
 		result.Canceled = true
 	}
-	if withdrawn(end, watch) {
-		// The engine did nothing wrong.
+	if canceledByWatch(end, watch) {
+		// The attempt was canceled on this side and does not count as a failure of the engine.
 		result = balance.Result{Canceled: true}
 	}
 	j.server.mu.Lock()
-	j.server.board.End(j.instance.Incarnation(), result, clock.Now())
-	if failedItself(end, err, gone) {
-		j.server.noteFailed(j.instance, j.team.Name)
+	j.server.balancer.End(j.instance.Incarnation(), result, clock.Now())
+	if failedByInstance(end, err, gone) {
+		j.server.recordFailure(j.instance, j.team.Name)
 	}
 	j.server.mu.Unlock()
-	j.server.Metrics.attempt(j.service, end)
+	j.server.Metrics.endAttempt(j.service, end)
 	if _, whole := end.(retry.Completed); !whole || result.Failed {
-		j.logAttempt(end, err, heard.Sub(began))
+		j.logAttempt(end, err, respondedAt.Sub(sentAt))
 	}
 	return end
 }
 
-// failedItself reports whether an instance that answers failed a request: by what it answered, or by
-// closing the connection. Silence may be the link's.
-func failedItself(end retry.Result, err error, gone bool) bool {
+// failedByInstance reports whether a reachable instance failed a request, by a 5xx response or by
+// closing the connection. A timeout does not count, because the network may have caused it.
+func failedByInstance(end retry.Result, err error, gone bool) bool {
 	switch end := end.(type) {
 	case retry.Completed:
 		return end.Status >= 500
 	case retry.Broken:
-		return !gone && closed(err)
+		return !gone && connectionClosed(err)
 	}
 	return false
 }
 
-// timedOut reports whether an address said nothing in time, not even that it refuses. An
-// answer that broke off after its head was a word.
+// timedOut reports whether an address sent nothing in time, not even a refused connection. A
+// response that was cut off after its head is not a timeout.
 func timedOut(reply exchange.Reply, err error) bool {
 	switch reply.(type) {
 	case exchange.Unreached, exchange.Broken:
@@ -265,61 +266,62 @@
 	return errors.As(err, &network) && network.Timeout()
 }
 
-// noteHeard notes a word of the instance before its answer has ended.
-func (j *job) noteHeard(reply exchange.Reply, track ends.Attempt, now time.Time) {
-	if answersItself(reply) {
-		j.server.Ends.RecordResponse(track)
+// recordResponse records that the instance responded, before the response is complete.
+func (j *job) recordResponse(reply exchange.Reply, attempt ends.Attempt, now time.Time) {
+	if fromInstance(reply) {
+		j.server.Ends.RecordResponse(attempt)
 	}
 	j.server.mu.Lock()
 	defer j.server.mu.Unlock()
-	j.noteCondition(exchange.ConditionOf(reply), track.Sent, now)
+	j.recordCondition(exchange.ConditionOf(reply), attempt.Sent, now)
 	switch reply.(type) {
 	case exchange.Unreached, exchange.Broken:
 	default:
-		j.server.board.RecordResponse(j.instance.Incarnation(), now)
+		j.server.balancer.RecordResponse(j.instance.Incarnation(), now)
 	}
 }
 
-func (j *job) outgoing() *exchange.Attempt {
+func (j *job) newAttempt() *exchange.Attempt {
 	a := &exchange.Attempt{
 		Request: j.request, Instance: j.instance, Deadline: j.deadline, Team: j.team.Name, Urgency: j.urgency,
-		After: j.last, Resumes: j.request.Resumes || j.began,
+		After: j.lastEvent, Resumes: j.request.Resumes || j.headSent,
 	}
 	if p := j.request.Prompt; p != nil {
-		j.keep(a, p)
-		j.weights = j.knownWeights(a.Weights)
+		j.planContext(a, p)
+		j.weights = j.snapshotWeights(a.Weights)
 	}
 	return a
 }
 
-// stop gives the caller the end of the request.
-func (j *job) stop(o outcome.Outcome) {
-	if _, answered := o.(outcome.Answered); answered && j.spare == nil {
-		j.note(o)
+// conclude ends the request with an outcome. Unless the response has been forwarded completely, it
+// sends the fallback response, breaks the stream or refuses the request.
+func (j *job) conclude(o outcome.Outcome) {
+	if _, answered := o.(outcome.Answered); answered && j.fallback == nil {
+		j.logOutcome(o)
 		return
 	}
-	if j.spare != nil && !j.began {
-		answer := *j.spare
-		j.first = clock.Now()
+	if j.fallback != nil && !j.headSent {
+		answer := *j.fallback
+		j.firstByteAt = clock.Now()
 		err := j.sink.Answer(answer)
 		if err != nil {
 			o = outcome.CallerGone
 		} else {
 			o = outcome.Answered{Status: answer.Head.Status}
 		}
-		j.note(o)
+		j.logOutcome(o)
 		return
 	}
-	if j.began {
-		j.note(o)
+	if j.headSent {
+		j.logOutcome(o)
 		j.sink.Break()
 		return
 	}
-	j.finish(o)
+	j.refuse(o)
 }
 
-// finish answers a request that has no answer of an instance.
-func (j *job) finish(o outcome.Outcome) {
-	j.note(o)
+// refuse ends a request for which there is no response of an instance.
+func (j *job) refuse(o outcome.Outcome) {
+	j.logOutcome(o)
 	j.sink.Refuse(o)
 }
--- a/internal/transport/serving/lines.go
+++ b/internal/transport/serving/lines.go
@@ -10,19 +10,19 @@
 	"github.com/shedrock/shedrock/internal/state/outcome"
 )
 
-// note logs and counts the end of the request.
-func (j *job) note(o outcome.Outcome) {
+// logOutcome logs and counts the outcome of the request.
+func (j *job) logOutcome(o outcome.Outcome) {
 	line := j.line(outcome.Label(o)).Int("attempts", j.number).Str("instance", j.instance.ID).Int64("start", int64(j.instance.Start)).Dur("took_ms", clock.Since(j.request.Arrived))
 	if j.request.Prompt != nil {
-		line = line.Int("fetch", j.fetch).Int("save", j.save).Int("tokens", j.request.Prompt.Tokens)
+		line = line.Int("fetch", j.fetchParts).Int("save", j.saveParts).Int("tokens", j.request.Prompt.Tokens)
 	}
-	if j.room.ok {
-		line = line.Int("room", j.room.tokens).Dur("room_age_ms", j.room.age)
+	if j.memory.ok {
+		line = line.Int("room", j.memory.tokens).Dur("room_age_ms", j.memory.age)
 	}
-	line = j.condition.fields(knownEnds(j.weights.fields(line), j.known))
+	line = j.condition.addTo(addQuarantine(j.weights.addTo(line), j.quarantined))
 	switch o := o.(type) {
 	case outcome.Answered:
-		line = line.Int("status", o.Status).Dur("first_ms", j.first.Sub(j.request.Arrived))
+		line = line.Int("status", o.Status).Dur("first_ms", j.firstByteAt.Sub(j.request.Arrived))
 	case outcome.NotRun:
 		line = line.Str("reason", string(o.Reason))
 	case outcome.Unknown:
@@ -31,7 +31,7 @@
 		line = line.Str("detail", o.Detail)
 	}
 	line.Msg("")
-	j.server.Metrics.request(j.team.Name, j.route, o, j.request.Arrived, j.first)
+	j.server.Metrics.endRequest(j.team.Name, j.route, o, j.request.Arrived, j.firstByteAt)
 }
 
 func (j *job) line(end string) *log.Entry {
@@ -42,17 +42,17 @@
 func (j *job) logAttempt(end retry.Result, err error, took time.Duration) {
 	line := j.server.Log.Info().Str("event", "attempt").Str("request", j.request.ID).Int("number", j.number).
 		Str("instance", j.instance.ID).Int64("start", int64(j.instance.Start)).Str("address", j.instance.Address).Uint64("sequence", j.instance.Sequence).
-		Str("end", endName(end)).Dur("took_ms", took)
+		Str("end", endLabel(end)).Dur("took_ms", took)
 	line = line.Str("digest", j.digest.String())
-	line = j.condition.fields(knownEnds(j.weights.fields(line), j.known))
+	line = j.condition.addTo(addQuarantine(j.weights.addTo(line), j.quarantined))
 	if err != nil {
 		line = line.Str("error", err.Error())
 	}
 	line.Msg("")
 }
 
-// endName is the end's label, and tells an instance's own failure from an answer.
-func endName(end retry.Result) string {
+// endLabel returns the label of an attempt's end; a 5xx response gets a label of its own.
+func endLabel(end retry.Result) string {
 	if whole, ok := end.(retry.Completed); ok && whole.Status >= 500 {
 		return "failed_there"
 	}
--- a/internal/transport/serving/metrics.go
+++ b/internal/transport/serving/metrics.go
@@ -14,49 +14,50 @@
 	"github.com/shedrock/shedrock/internal/transport/fleet"
 )
 
-// Metrics counts what is served, by team and kind of request. Make one with NewMetrics.
+// Metrics holds the metrics of a Server. Create one with NewMetrics.
 type Metrics struct {
 	registry *prometheus.Registry
 	requests *prometheus.CounterVec
 	refusals *prometheus.CounterVec
 	attempts *prometheus.CounterVec
-	// limited counts attempts at instances with a limit, and limits how often one is named, changed or
-	// taken back.
-	limited, limits *prometheus.CounterVec
-	// unwanted counts attempts at instances that want none, rests how often one begins to rest, and
-	// leavings those that say that they will end.
+	// limited counts attempts at instances with a rate limit, and limitChanges how often an instance
+	// announces, changes or removes its limit.
+	limited, limitChanges *prometheus.CounterVec
+	// unwanted counts attempts at instances that asked for a pause or announced their shutdown, rests
+	// the requests for a pause, and leavings the announced shutdowns.
 	unwanted, rests, leavings *prometheus.CounterVec
-	first                     *prometheus.HistogramVec
-	took                      *prometheus.HistogramVec
-	// newest and required are versions of weights, and older counts engines.
-	newest, required, older *prometheus.GaugeVec
+	firstByte                 *prometheus.HistogramVec
+	duration                  *prometheus.HistogramVec
+	// newest and required are weight versions, and olderEngines is the number of engines below newest.
+	newest, required, olderEngines *prometheus.GaugeVec
 }
 
-// NewMetrics returns metrics that count from 0.
+// NewMetrics returns metrics in a registry of their own.
 func NewMetrics() *Metrics {
 	m := &Metrics{
-		registry: prometheus.NewRegistry(),
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_requests_total", Help: "Requests by their outcome."}, []string{"team", "class", "outcome"}),
-		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_refusals_total", Help: "Requests that were not run, by the reason."}, []string{"team", "class", "reason"}),
-		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_attempts_total", Help: "Attempts by their end."}, []string{"service", "end"}),
-		limited:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_limited_attempts_total", Help: "Attempts at instances that are known to have a limit."}, []string{"service"}),
-		limits:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_instance_limit_changes_total", Help: "How often an instance named another limit than before, or none any more."}, []string{"service"}),
-		unwanted: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_unwanted_attempts_total", Help: "Attempts at instances that asked for rest or said that they will end."}, []string{"service"}),
-		rests:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_instance_rests_total", Help: "How often an instance asked for rest."}, []string{"service"}),
-		leavings: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_instance_leavings_total", Help: "Instances that said in an answer that they will end."}, []string{"service"}),
-		first:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "shedrock_first_byte_seconds", Help: "From the arrival to the first byte of the answer.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 12)}, []string{"team", "class"}),
-		took:     prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "shedrock_request_seconds", Help: "From the arrival to the end of the answer.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 12)}, []string{"team", "class"}),
+		registry:     prometheus.NewRegistry(),
+		requests:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_requests_total", Help: "Requests by their outcome."}, []string{"team", "class", "outcome"}),
+		refusals:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_refusals_total", Help: "Requests that were not run, by the reason."}, []string{"team", "class", "reason"}),
+		attempts:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_attempts_total", Help: "Attempts by their end."}, []string{"service", "end"}),
+		limited:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_limited_attempts_total", Help: "Attempts at instances that are known to have a limit."}, []string{"service"}),
+		limitChanges: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_instance_limit_changes_total", Help: "How often an instance named another limit than before, or none any more."}, []string{"service"}),
+		unwanted:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_unwanted_attempts_total", Help: "Attempts at instances that asked for rest or said that they will end."}, []string{"service"}),
+		rests:        prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_instance_rests_total", Help: "How often an instance asked for rest."}, []string{"service"}),
+		leavings:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "shedrock_instance_leavings_total", Help: "Instances that said in an answer that they will end."}, []string{"service"}),
+		firstByte:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "shedrock_first_byte_seconds", Help: "From the arrival to the first byte of the answer.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 12)}, []string{"team", "class"}),
+		duration:     prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "shedrock_request_seconds", Help: "From the arrival to the end of the answer.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 12)}, []string{"team", "class"}),
 
-		newest:   prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "shedrock_weights_newest_version", Help: "The newest version of a model's weights that was named."}, []string{"model"}),
-		required: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "shedrock_weights_required_version", Help: "The oldest version on which requests may begin, 0 for any."}, []string{"model"}),
-		older:    prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "shedrock_engines_older", Help: "Engines whose weights are older than the newest."}, []string{"model"}),
+		newest:       prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "shedrock_weights_newest_version", Help: "The newest version of a model's weights that was named."}, []string{"model"}),
+		required:     prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "shedrock_weights_required_version", Help: "The oldest version on which requests may begin, 0 for any."}, []string{"model"}),
+		olderEngines: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "shedrock_engines_older", Help: "Engines whose weights are older than the newest."}, []string{"model"}),
 	}
-	m.registry.MustRegister(m.requests, m.refusals, m.attempts, m.limited, m.limits, m.unwanted, m.rests, m.leavings, m.first, m.took, m.newest, m.required, m.older)
+	m.registry.MustRegister(m.requests, m.refusals, m.attempts, m.limited, m.limitChanges, m.unwanted, m.rests, m.leavings, m.firstByte, m.duration, m.newest, m.required, m.olderEngines)
 	return m
 }
 
-// RegisterView adds what a view says of the configuration: the version in force, and the newest that
-// is known to exist. The difference shows a process that lags. It must be called once.
+// RegisterView registers gauges that are read from the view: the configuration version in force, the
+// newest version known to exist (a difference shows a process that lags), the evacuations, and
+// whether the control log is reachable. It must be called once.
 func (m *Metrics) RegisterView(view func() *fleet.View) {
 	inForce := func() float64 {
 		config := view().Config
@@ -81,42 +82,42 @@
 	)
 }
 
-// Register adds what another part counts.
+// Register adds the metrics of another package.
 func (m *Metrics) Register(collectors []prometheus.Collector) { m.registry.MustRegister(collectors...) }
 
-// Handler serves the metrics as text.
+// Handler serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-func (m *Metrics) request(team string, route deployment.Route, o outcome.Outcome, arrived, first time.Time) {
+func (m *Metrics) endRequest(team string, route deployment.Route, o outcome.Outcome, arrived, first time.Time) {
 	class := route.Kind.String()
 	m.requests.WithLabelValues(team, class, outcome.Label(o)).Inc()
 	if refused, ok := o.(outcome.NotRun); ok {
 		m.refusals.WithLabelValues(team, class, string(refused.Reason)).Inc()
 	}
-	m.took.WithLabelValues(team, class).Observe(clock.Since(arrived).Seconds())
+	m.duration.WithLabelValues(team, class).Observe(clock.Since(arrived).Seconds())
 	if !first.IsZero() {
-		m.first.WithLabelValues(team, class).Observe(first.Sub(arrived).Seconds())
+		m.firstByte.WithLabelValues(team, class).Observe(first.Sub(arrived).Seconds())
 	}
 }
 
-// begin counts an attempt by what its instance has said of itself.
-func (m *Metrics) begin(service string, to conditionKnown) {
+// beginAttempt counts an attempt at an instance that has a limit or wants no requests.
+func (m *Metrics) beginAttempt(service string, to conditionSnapshot) {
 	if to.limit.Active {
 		m.limited.WithLabelValues(service).Inc()
 	}
-	if to.restLeft > 0 || to.leaving {
+	if to.restRemaining > 0 || to.leaving {
 		m.unwanted.WithLabelValues(service).Inc()
 	}
 }
 
-func (m *Metrics) weights(model string, newest, required uint64, older int) {
+func (m *Metrics) setWeights(model string, newest, required uint64, older int) {
 	m.newest.WithLabelValues(model).Set(float64(newest))
 	m.required.WithLabelValues(model).Set(float64(required))
-	m.older.WithLabelValues(model).Set(float64(older))
+	m.olderEngines.WithLabelValues(model).Set(float64(older))
 }
 
-func (m *Metrics) attempt(service string, end retry.Result) {
-	m.attempts.WithLabelValues(service, endName(end)).Inc()
+func (m *Metrics) endAttempt(service string, end retry.Result) {
+	m.attempts.WithLabelValues(service, endLabel(end)).Inc()
 }
--- a/internal/transport/serving/metrics_test.go
+++ b/internal/transport/serving/metrics_test.go
@@ -13,7 +13,7 @@
 	"github.com/shedrock/shedrock/internal/transport/serving"
 )
 
-// An entry that serves by an older configuration than it knows to exist shows in its metrics.
+// The metrics of an entry show that it serves an older configuration than the newest it knows of.
 func TestMetricsShowALaggingConfiguration(t *testing.T) {
 	view := &fleet.View{}
 	metrics := serving.NewMetrics()
--- a/internal/transport/serving/pass.go
+++ b/internal/transport/serving/pass.go
@@ -10,50 +10,50 @@
 	"github.com/shedrock/shedrock/internal/protocol/exchange"
 )
 
-// errOutOfOrder says that an event does not follow the one before.
-var errOutOfOrder = errors.New("an event does not follow the one before")
+// errOutOfOrder reports that an event number is not the previous one plus 1.
+var errOutOfOrder = errors.New("event number does not follow the previous one")
 
-// pass turns a reply into the end of an attempt, and passes on what the caller may have.
-// The first event of a stream says that the engine has begun it.
-func (j *job) pass(reply exchange.Reply, watch *beginWatch) (retry.Result, error) {
+// forward converts a reply into the end of an attempt, and forwards the response to the caller if
+// it is one that the caller may see. The first event of a stream stops the weights watch.
+func (j *job) forward(reply exchange.Reply, watch *weightsWatch) (retry.Result, error) {
 	switch reply := reply.(type) {
 	case exchange.Unreached:
 		return retry.Unreached{}, reply.Err
 	case exchange.NotRun:
 		if reply.Misdirected {
-			return retry.Misdirected{}, errors.New("another instance has the address, or its weights changed")
+			return retry.Misdirected{}, errors.New("misdirected: another instance has the address, or its weights changed")
 		}
-		return retry.Refused{}, errors.Errorf("refused with %d", reply.Status)
+		return retry.Refused{}, errors.Errorf("instance refused the request with status %d", reply.Status)
 	case exchange.Broken:
-		return retry.Broken{Sent: j.sent()}, reply.Err
+		return retry.Broken{Sent: j.lastSent()}, reply.Err
 	case exchange.Whole:
-		return j.passWhole(reply)
+		return j.forwardWhole(reply)
 	case exchange.Stream:
 		defer reply.Events.Close()
-		return j.passStream(reply, watch)
+		return j.forwardStream(reply, watch)
 	}
 	panic("serving: reply outside the sealed set")
 }
 
-// sent is the number of the last event that the caller got from this process.
-func (j *job) sent() uint64 {
-	if !j.began {
+// lastSent returns the number of the last event that this process sent to the caller, or 0.
+func (j *job) lastSent() uint64 {
+	if !j.headSent {
 		return 0
 	}
-	return j.last
+	return j.lastEvent
 }
 
-func (j *job) passWhole(a exchange.Whole) (retry.Result, error) {
-	if j.began {
-		// The stream cannot go on with an answer that is none.
-		return retry.Broken{Sent: j.last}, errors.Errorf("answered %d in place of the rest", a.Head.Status)
+func (j *job) forwardWhole(a exchange.Whole) (retry.Result, error) {
+	if j.headSent {
+		// The response that was to continue the stream is not a stream.
+		return retry.Broken{Sent: j.lastEvent}, errors.Errorf("expected the rest of the stream, got a response with status %d", a.Head.Status)
 	}
 	if a.Head.Status >= 500 && j.tries.Idempotent {
-		j.spare = &a
+		j.fallback = &a
 		return retry.Completed{Status: a.Head.Status}, nil
 	}
-	j.spare = nil
-	j.first = clock.Now()
+	j.fallback = nil
+	j.firstByteAt = clock.Now()
 	err := j.sink.Answer(a)
 	if err != nil {
 		return retry.CallerGone{}, err
@@ -61,25 +61,25 @@
 	return retry.Completed{Status: a.Head.Status}, nil
 }
 
-func (j *job) passStream(a exchange.Stream, watch *beginWatch) (retry.Result, error) {
+func (j *job) forwardStream(a exchange.Stream, watch *weightsWatch) (retry.Result, error) {
 	for {
 		event, more, err := a.Events.Next()
 		if err == io.EOF {
 			return j.endStream(a.Head), nil
 		}
 		if err != nil {
-			return retry.Broken{Sent: j.sent()}, err
+			return retry.Broken{Sent: j.lastSent()}, err
 		}
 		watch.begun()
-		if event.Number > 0 && event.Number <= j.last {
-			if j.began {
-				// A run that goes on behind an event may repeat what the caller has.
+		if event.Number > 0 && event.Number <= j.lastEvent {
+			if j.headSent {
+				// A resumed run may repeat events that the caller has already received.
 				continue
 			}
-			return retry.Broken{Sent: j.sent()}, errOutOfOrder
+			return retry.Broken{Sent: j.lastSent()}, errOutOfOrder
 		}
-		if event.Number > j.last+1 && (j.last > 0 || j.began) {
-			return retry.Broken{Sent: j.sent()}, errOutOfOrder
+		if event.Number > j.lastEvent+1 && (j.lastEvent > 0 || j.headSent) {
+			return retry.Broken{Sent: j.lastSent()}, errOutOfOrder
 		}
 		err = j.beginStream(a.Head)
 		if err == nil {
@@ -88,18 +88,18 @@
 		if err != nil {
 			return retry.CallerGone{}, err
 		}
-		j.last = max(j.last, event.Number)
+		j.lastEvent = max(j.lastEvent, event.Number)
 	}
 }
 
-// beginStream passes the head on before the first event; a stream that another instance
-// goes on with keeps its first head.
+// beginStream forwards the head before the first event. A stream that another instance
+// continues keeps its first head.
 func (j *job) beginStream(h exchange.Head) error {
-	if j.began {
+	if j.headSent {
 		return nil
 	}
-	j.began = true
-	j.first = clock.Now()
+	j.headSent = true
+	j.firstByteAt = clock.Now()
 	return j.sink.Begin(h)
 }
 
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// shortest is the least time that makes an attempt worth sending.
-	shortest = 5 * time.Millisecond
-	// roomAfter is when a caller may come back whose long prompt finds no room: those that
-	// take it now run for about 2 s, so half of it has changed hands by then. In a burst 3.0 in a
-	// hundred requests were refused for good with 0.3 s, and 2.3 with 1.5 to 3 s.
-	roomAfter = 2 * time.Second
-	// evacuatedAfter is when a caller may come back whose service has instances in evacuated
-	// failure domains only: nobody knows when that ends.
-	evacuatedAfter = 2 * time.Second
+	// minAttemptTime is the least time until the deadline with which an attempt is sent.
+	minAttemptTime = 5 * time.Millisecond
+	// noRoomRetryAfter is the Retry-After of a long prompt for which no engine has memory. Long prompts
+	// run for about 2 s, so about half of the memory in use has passed to other requests by then. In a
+	// burst, 3.0% of the requests were refused for good with 0.3 s, and 2.3% with 1.5 to 3 s.
+	noRoomRetryAfter = 2 * time.Second
+	// evacuatedRetryAfter is the Retry-After when all instances of the service are in evacuated failure
+	// domains. The end of an evacuation cannot be predicted.
+	evacuatedRetryAfter = 2 * time.Second
 )
 
-// ColdAllowance says how far above what a cold instance bears it may be sent in one second by all entries
-// together. Its zero value declares no bound.
+// ColdAllowance sets how far all entries together may exceed the rate that a cold instance sustains,
+// within one second. The zero value sets no bound.
 type ColdAllowance struct {
-	// Overage is a factor and Slack a number of requests.
+	// The bound is the sustained rate times Overage plus Slack requests.
 	Overage, Slack float64
 }
 
-// bound returns what a cold instance bears that bears so many requests a second.
-func (c ColdAllowance) bound(rate float64) balance.Capacity {
+// capacity returns the capacity of a cold instance that sustains the given number of requests per second.
+func (c ColdAllowance) capacity(rate float64) balance.Capacity {
 	out := balance.Capacity{Rate: rate}
 	if c.Overage > 0 {
 		out.Max = rate*c.Overage + c.Slack
@@ -39,20 +39,21 @@
 	return out
 }
 
-// known is how much memory was free, by what engines told age before.
-type known struct {
+// freeMemory is an amount of free memory, from engine reports of the given age. ok is false when it is
+// not known.
+type freeMemory struct {
 	tokens int
 	age    time.Duration
 	ok     bool
 }
 
-// place chooses the instance of the next attempt; it returns the request's end when there is
-// none for it.
+// place chooses the instance of the next attempt. It returns the request's outcome when the request
+// must not be sent now.
 func (j *job) place() outcome.Outcome {
-	if clock.Until(j.deadline) < shortest {
+	if clock.Until(j.deadline) < minAttemptTime {
 		return j.tries.GiveUp()
 	}
-	if o := j.permit(); o != nil {
+	if o := j.checkQuarantine(); o != nil {
 		return o
 	}
 	o := j.choose()
@@ -62,10 +63,10 @@
 	return o
 }
 
-// choose picks the instance of the next attempt.
+// choose picks the instance of the next attempt and records the attempt with the balancer.
 func (j *job) choose() outcome.Outcome {
 	view := j.server.View()
-	wish := j.wish(view)
+	pickInfo := j.pickInfo(view)
 	now := clock.Now()
 	instances := j.usable(view, now)
 	if len(instances) == 0 && len(view.Instances[j.service]) > 0 {
@@ -73,42 +74,43 @@
 	}
 	j.server.mu.Lock()
 	defer j.server.mu.Unlock()
-	board := j.server.board
-	// Whoever goes on with a stream has a part of it already, and would lose that.
+	balancer := j.server.balancer
+	// A resumed stream is not refused: the caller would lose the part that it already has.
 	if j.number == 0 && !j.request.Resumes {
-		room, ok := board.Admit(instances, wish, now)
+		room, ok := balancer.Admit(instances, pickInfo, now)
 		if !ok {
-			j.room = known{tokens: room, age: now.Sub(view.LoadsAt), ok: true}
-			return outcome.NotRun{RetryAfter: roomAfter, Reason: outcome.ReasonNoRoom}
+			j.memory = freeMemory{tokens: room, age: now.Sub(view.LoadsAt), ok: true}
+			return outcome.NotRun{RetryAfter: noRoomRetryAfter, Reason: outcome.ReasonNoRoom}
 		}
 	}
-	in, ok := board.Pick(instances, wish, now)
-	if !ok && evacuated(instances, view) {
-		return j.tries.Reject(evacuatedAfter, outcome.ReasonEvacuated)
+	in, ok := balancer.Pick(instances, pickInfo, now)
+	if !ok && allEvacuated(instances, view) {
+		return j.tries.Reject(evacuatedRetryAfter, outcome.ReasonEvacuated)
 	}
 	if !ok {
-		return j.noInstance(instances, wish, now)
+		return j.noInstance(instances, pickInfo, now)
 	}
 	j.instance = in
 	j.tried = append(j.tried, in.Incarnation())
 	j.number++
-	j.condition = j.knownCondition(now)
-	j.room = known{}
-	if free, ok := board.Free(in.Incarnation(), wish, now); ok {
-		j.room = known{tokens: free, age: now.Sub(view.LoadsAt), ok: true}
+	j.condition = j.currentCondition(now)
+	j.memory = freeMemory{}
+	if free, ok := balancer.Free(in.Incarnation(), pickInfo, now); ok {
+		j.memory = freeMemory{tokens: free, age: now.Sub(view.LoadsAt), ok: true}
 	}
-	board.Begin(in, now)
-	j.server.Metrics.begin(j.service, j.condition)
+	balancer.Begin(in, now)
+	j.server.Metrics.beginAttempt(j.service, j.condition)
 	j.server.failures.RecordRequest(j.service, j.team.Name, now)
-	if wish.Tokens > 0 {
-		board.Reserve(in.Incarnation(), wish, now)
+	if pickInfo.Tokens > 0 {
+		balancer.Reserve(in.Incarnation(), pickInfo, now)
 	}
 	return nil
 }
 
-// noInstance is the request's end when none of some instances takes it now; the server's mu must be held.
-func (j *job) noInstance(instances []registry.Instance, wish balance.PickInfo, now time.Time) outcome.Outcome {
-	switch held := j.server.board.Backpressure(instances, wish, now).(type) {
+// noInstance returns the request's outcome when none of the instances accepts it now. The server's mu
+// must be held.
+func (j *job) noInstance(instances []registry.Instance, pickInfo balance.PickInfo, now time.Time) outcome.Outcome {
+	switch held := j.server.balancer.Backpressure(instances, pickInfo, now).(type) {
 	case balance.Resting:
 		return j.tries.Reject(held.Remaining, outcome.ReasonResting)
 	case balance.Limited:
@@ -117,8 +119,8 @@
 	return j.tries.GiveUp()
 }
 
-// evacuated reports whether there are instances, all of them in failure domains that are evacuated.
-func evacuated(instances []registry.Instance, view *fleet.View) bool {
+// allEvacuated reports whether there are instances and all of them are in evacuated failure domains.
+func allEvacuated(instances []registry.Instance, view *fleet.View) bool {
 	used := func(in registry.Instance) bool {
 		_, is := view.Evacuated[in.FailureDomain]
 		return !is
@@ -126,25 +128,25 @@
 	return len(instances) > 0 && !slices.ContainsFunc(instances, used)
 }
 
-// wish says what the next attempt asks for.
-func (j *job) wish(view *fleet.View) balance.PickInfo {
+// pickInfo returns the input for choosing the instance of the next attempt.
+func (j *job) pickInfo(view *fleet.View) balance.PickInfo {
 	service := view.Config.Services[j.service]
-	wish := balance.PickInfo{
+	pickInfo := balance.PickInfo{
 		Tried: j.tried, Busy: view.Busy, Failing: view.Failing, Retryable: j.route.Repeats(), Entries: view.Entries, Rank: view.Rank,
-		Cold: j.server.Cold.bound(service.ColdRate), ColdFor: service.ColdFor, Evacuated: view.Evacuated, Returned: view.Returned,
+		Cold: j.server.Cold.capacity(service.ColdRate), ColdFor: service.ColdFor, Evacuated: view.Evacuated, Returned: view.Returned,
 	}
 	p := j.request.Prompt
 	if p == nil {
-		return wish
+		return pickInfo
 	}
-	wish.Key = p.SharedKey()
-	wish.Model = p.Model
-	wish.Weights = view.Weights[p.Model]
+	pickInfo.Key = p.SharedKey()
+	pickInfo.Model = p.Model
+	pickInfo.Weights = view.Weights[p.Model]
 	if engine := service.Engine; engine != nil {
-		wish.Tokens = p.Tokens + p.MostOut
-		wish.Memory = engine.MemoryTokens
-		wish.Loads = view.Loads
-		wish.LoadsInterval = view.LoadsInterval
+		pickInfo.Tokens = p.Tokens + p.MostOut
+		pickInfo.Memory = engine.MemoryTokens
+		pickInfo.Loads = view.Loads
+		pickInfo.LoadsInterval = view.LoadsInterval
 	}
-	return wish
+	return pickInfo
 }
--- a/internal/transport/serving/serving.go
+++ b/internal/transport/serving/serving.go
@@ -1,10 +1,10 @@
-// Package serving takes requests to upstreams that registered themselves: it finds the
-// route and the team, chooses an instance, sends the request there, passes the answer on,
-// and decides what follows when an attempt fails.
+// Package serving proxies requests to upstreams that registered themselves: it finds the
+// route and the team, chooses an instance, sends the request there, forwards the response,
+// and decides whether to send it again when an attempt fails.
 //
-// How a request arrives, and how an upstream is spoken to, are ports on either side: a
-// Sink for the caller and exchange.Upstreams. The decisions are made by the pure packages
-// below coordination; this package holds their state behind one mutex.
+// It is independent of the protocols on both sides, which are behind two interfaces: Sink for
+// the caller and exchange.Upstreams for the instances. The decisions are made by the packages
+// under coordination, which do no I/O; this package holds their state behind one mutex.
 package serving
 
 import (
@@ -28,43 +28,45 @@
 )
 
 const (
-	// forgetAfter is how long the load of an instance is remembered that is not used.
-	forgetAfter = time.Minute
-	// sweepInterval is how often what is idle is forgotten.
+	// idleLoadTTL is how long the load of an unused instance is kept.
+	idleLoadTTL = time.Minute
+	// sweepInterval is how often the loads of unused instances are removed.
 	sweepInterval = time.Second
-	// lateAnswer is how long after the deadline an instance's own last word is waited for;
-	// callers are given an end within half a second after a route's timeout.
-	lateAnswer = 150 * time.Millisecond
+	// deadlineGrace is how long after the deadline an instance may still send its own final response.
+	// Callers get an outcome within 0.5 s after the route's timeout.
+	deadlineGrace = 150 * time.Millisecond
 )
 
-// Sink is the caller's side of one request. Exactly one of Refuse, Deny and Answer is
-// called, or Begin and then any number of Event and at last End or Break.
+// Sink writes the response to the caller of one request. Either exactly one of Refuse, Deny and
+// Answer is called, or Begin, then Event any number of times, and finally End or Break.
 type Sink interface {
-	// Refuse gives the final outcome of a request that has no answer of an instance.
+	// Refuse sends the outcome of a request for which there is no response of an instance.
 	Refuse(o outcome.Outcome)
-	// Deny refuses a request that the configuration does not allow.
+	// Deny rejects a request that the configuration does not allow.
 	Deny(d Denial)
-	// Answer passes on a whole answer.
+	// Answer sends a complete response.
 	Answer(a exchange.Whole) error
-	// Begin passes on the head of a stream, and Event one event.
+	// Begin sends the head of a stream, and Event one event. more is true when the next event has
+	// already arrived.
 	Begin(h exchange.Head) error
 	Event(raw []byte, more bool) error
-	// End ends a complete stream; Break ends one that is not, so that the caller sees it.
+	// End ends a complete stream. Break ends an incomplete one so that the caller can detect it.
 	End()
 	Break()
 }
 
-// Denial says why the configuration does not allow a request.
+// Denial is the reason why the configuration does not allow a request.
 type Denial int
 
-// The denials.
+// The reasons for a denial: no route matches, the key belongs to no team and the route is not
+// public, or the body exceeds the configured size.
 const (
 	NoRoute Denial = iota + 1
 	NoTeam
 	BodyTooLarge
 )
 
-// String returns the denial's name in logs.
+// String returns the name of the denial that is written to logs.
 func (d Denial) String() string {
 	switch d {
 	case NoRoute:
@@ -77,61 +79,61 @@
 	return "unknown"
 }
 
-// Server serves requests. Set the exported fields before Run and Serve.
+// Server proxies requests to instances. Set the exported fields before calling Run and Serve.
 type Server struct {
-	// View returns what is known of the fleet.
+	// View returns the current state of the fleet.
 	View func() *fleet.View
-	// Upstreams speaks to instances.
+	// Upstreams sends requests to instances.
 	Upstreams exchange.Upstreams
-	// Allowance bounds repeated sends over all entries.
+	// Allowance limits resends over all entries.
 	Allowance retry.Allowance
-	// OldWeightsGrace is how long after newer weights are named requests may begin on older ones; 0
-	// is without an end.
+	// OldWeightsGrace is how long after the announcement of newer weights requests may still begin on
+	// older ones; 0 means without limit.
 	OldWeightsGrace time.Duration
-	// Cold bounds what cold instances are sent.
+	// Cold limits the requests sent to cold instances.
 	Cold ColdAllowance
-	// Ends knows which instances ended under which requests; somebody else runs it. When nil, this
-	// server knows by itself what it sees itself.
+	// Ends tracks which instances ended while they served which requests. The server does not call
+	// its Run. When nil, the server uses a tracker of its own, which learns nothing from other entries.
 	Ends *ends.Tracker
-	// Metrics counts what is served.
+	// Metrics receives the counts.
 	Metrics *Metrics
-	// Log receives one line for each event.
+	// Log receives one line per event.
 	Log *log.Logger
 
 	once     sync.Once
 	stopping atomic.Bool
-	// began is when the server began to serve.
-	began time.Time
+	// startedAt is when the server was first used.
+	startedAt time.Time
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
-	board   *balance.Balancer
-	windows map[string]*retry.Window
-	sends   sends
-	// required holds the version of each model that was last told to be required.
-	required map[string]uint64
-	// failures is what this entry saw of instances that answer and fail; failed holds a token while
-	// there is any.
-	failures *suspects.Collector
-	failed   chan struct{}
+	balancer *balance.Balancer
+	windows  map[string]*retry.Window
+	inFlight inFlight
+	// requiredLogged holds the required weight version of each model that was last logged.
+	requiredLogged map[string]uint64
+	// failures collects failed requests at instances that responded. failurePending holds a token while
+	// there are any.
+	failures       *suspects.Collector
+	failurePending chan struct{}
 }
 
 func (s *Server) init() {
 	s.once.Do(func() {
-		s.began = clock.Now()
+		s.startedAt = clock.Now()
 		s.failures = suspects.NewCollector()
-		s.failed = make(chan struct{}, 1)
-		s.board = balance.New(rand.Uint64())
+		s.failurePending = make(chan struct{}, 1)
+		s.balancer = balance.New(rand.Uint64())
 		s.windows = map[string]*retry.Window{}
-		s.sends = sends{}
-		s.required = map[string]uint64{}
+		s.inFlight = inFlight{}
+		s.requiredLogged = map[string]uint64{}
 		if s.Ends == nil {
 			s.Ends = &ends.Tracker{Entries: func() int { return s.View().Entries }, Metrics: ends.NewMetrics(), Log: s.Log}
 		}
 	})
 }
 
-// Run forgets what is not used any more, and ends what can have no answer, until ctx ends.
+// Run removes idle state and cancels attempts that can no longer get a response, until ctx ends.
 func (s *Server) Run(ctx context.Context) {
 	s.init()
 	ticker := time.NewTicker(sweepInterval)
@@ -142,13 +144,13 @@
 		select {
 		case <-starts.C:
 			s.mu.Lock()
-			s.endSuperseded()
+			s.cancelStale()
 			s.mu.Unlock()
 		case <-ticker.C:
 			now := clock.Now()
 			s.mu.Lock()
-			s.board.Prune(now.Add(-forgetAfter))
-			s.tellRequired(now)
+			s.balancer.Prune(now.Add(-idleLoadTTL))
+			s.reportRequired(now)
 			s.mu.Unlock()
 		case <-ctx.Done():
 			return
@@ -156,13 +158,13 @@
 	}
 }
 
-// FailuresPending is signalled when requests have failed at instances that answered.
+// FailuresPending returns a channel that receives when requests have failed at instances that responded.
 func (s *Server) FailuresPending() <-chan struct{} {
 	s.init()
-	return s.failed
+	return s.failurePending
 }
 
-// TakeFailures returns what was seen of such instances since the last call.
+// TakeFailures returns the failures at such instances since the last call.
 func (s *Server) TakeFailures() []suspects.Failures {
 	s.init()
 	s.mu.Lock()
@@ -170,39 +172,39 @@
 	return s.failures.Drain()
 }
 
-// noteFailed notes that a request of a team failed at an instance; mu must be held.
-func (s *Server) noteFailed(in registry.Instance, team string) {
+// recordFailure records that a request of a team failed at an instance. mu must be held.
+func (s *Server) recordFailure(in registry.Instance, team string) {
 	s.failures.RecordFailure(in, team, len(s.View().Instances[in.Service]), clock.Now())
 	select {
-	case s.failed <- struct{}{}:
+	case s.failurePending <- struct{}{}:
 	default:
 	}
 }
 
-// Ready reports whether new callers are welcome.
+// Ready reports whether the server should receive new requests: it has a configuration and is not stopping.
 func (s *Server) Ready() bool {
 	return !s.stopping.Load() && s.View().Config != nil
 }
 
-// Stopping reports whether the process has been told to stop.
+// Stopping reports whether Stop was called.
 func (s *Server) Stopping() bool { return s.stopping.Load() }
 
-// Stop makes the server not ready. Requests that still come are served.
+// Stop makes the server report that it is not ready. Requests that still arrive are served.
 func (s *Server) Stop() { s.stopping.Store(true) }
 
-// Serve serves one request to its end.
+// Serve serves one request and returns when the response has been sent.
 func (s *Server) Serve(ctx context.Context, r *exchange.Request, sink Sink) {
 	s.init()
 	j := &job{server: s, request: r, sink: sink}
 	if !j.admit(ctx) {
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, clock.Deadline(j.deadline.Add(lateAnswer)))
+	ctx, cancel := context.WithDeadline(ctx, clock.Deadline(j.deadline.Add(deadlineGrace)))
 	defer cancel()
 	j.run(ctx)
 }
 
-// window returns the counts of one service; mu must be held.
+// window returns the resend window of one service. mu must be held.
 func (s *Server) window(service string) *retry.Window {
 	w, ok := s.windows[service]
 	if !ok {
--- a/internal/transport/serving/start_test.go
+++ b/internal/transport/serving/start_test.go
@@ -20,27 +20,28 @@
 	"github.com/shedrock/shedrock/internal/transport/serving"
 )
 
-// ending notes how a request ended.
-type ending struct {
+// refusalSink records the reason for which a request was refused or denied.
+type refusalSink struct {
 	serving.Sink
-	how string
+	reason string
 }
 
-func (e *ending) Refuse(o outcome.Outcome) { e.how = fmt.Sprint(o.(outcome.NotRun).Reason) }
+func (e *refusalSink) Refuse(o outcome.Outcome) { e.reason = fmt.Sprint(o.(outcome.NotRun).Reason) }
 
-func (e *ending) Deny(d serving.Denial) { e.how = d.String() }
+func (e *refusalSink) Deny(d serving.Denial) { e.reason = d.String() }
 
-// The pattern: everything lost power and starts again at once. A caller who comes a little before the
-// configuration is known is held for as long as it is surely better than to come again: up to 0.4 s, and
-// a tenth of its time. Later, and at a process that has long been running, it is told at once.
+// Guards against refusals after a power loss, when all processes start at the same time and a request
+// arrives shortly before the configuration is known. The request is held for at most 0.4 s and at most a
+// tenth of the caller's timeout, and refused only then. Later, and at a process that has been running for
+// long, it is refused at once.
 func TestCallersAreHeldWhileEverythingStarts(t *testing.T) {
 	const known = 300 * time.Millisecond
 	cases := []struct {
 		name string
-		// arrives is when the request comes after the start, and patience what its caller has.
+		// arrives is the time from the process start to the request, and patience the caller's timeout.
 		arrives, patience time.Duration
 		took              time.Duration
-		how               string
+		reason            string
 	}{
 		{"soon enough", 50 * time.Millisecond, 8 * time.Second, known - 50*time.Millisecond, "no_route"},
 		{"little patience", 50 * time.Millisecond, time.Second, 100 * time.Millisecond, "entry_not_ready"},
@@ -57,11 +58,11 @@
 				server.FailuresPending()
 				time.AfterFunc(known, func() { view.Store(&fleet.View{Entries: 1, Config: &deployment.Config{Version: 1}}) })
 				<-time.After(c.arrives)
-				e := &ending{}
+				e := &refusalSink{}
 				began := time.Now()
 				server.Serve(context.Background(), &exchange.Request{ID: "r", Wait: c.patience, Arrived: clock.Now()}, e)
 				took := time.Since(began).Round(20 * time.Millisecond)
-				if diff := cmp.Diff([]any{c.how, c.took.Round(20 * time.Millisecond)}, []any{e.how, took}); diff != "" {
+				if diff := cmp.Diff([]any{c.reason, c.took.Round(20 * time.Millisecond)}, []any{e.reason, took}); diff != "" {
 					t.Error(diff)
 				}
 			})
@@ -69,17 +70,17 @@
 	}
 }
 
-// A process that has had no configuration for long tells callers at once.
+// A process that has long been without a configuration refuses requests at once.
 func TestCallersAreNotHeldLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clocktest.New(t)
 		server := &serving.Server{View: func() *fleet.View { return &fleet.View{} }, Metrics: serving.NewMetrics(), Log: &log.Logger{Level: log.PanicLevel}}
 		server.FailuresPending()
 		<-time.After(time.Minute)
-		e := &ending{}
+		e := &refusalSink{}
 		began := time.Now()
 		server.Serve(context.Background(), &exchange.Request{ID: "r", Wait: 8 * time.Second, Arrived: clock.Now()}, e)
-		if diff := cmp.Diff([]any{"entry_not_ready", time.Duration(0)}, []any{e.how, time.Since(began)}); diff != "" {
+		if diff := cmp.Diff([]any{"entry_not_ready", time.Duration(0)}, []any{e.reason, time.Since(began)}); diff != "" {
 			t.Error(diff)
 		}
 	})
--- a/internal/transport/serving/superseded.go
+++ b/internal/transport/serving/superseded.go
@@ -10,63 +10,64 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// supersededInterval is how often it is looked whether an instance with attempts under way started
-// again. Heartbeats tell it some hundred milliseconds after the start.
+// supersededInterval is how often attempts in flight are checked for instances that have restarted.
+// Heartbeats report a restart some hundred milliseconds after it.
 const supersededInterval = 250 * time.Millisecond
 
-// overdueAfter is how long after its deadline an attempt is ended that its own timers did not end.
-const overdueAfter = 2 * lateAnswer
+// overdueAfter is how long after its deadline an attempt is canceled if its own timers have not done so.
+const overdueAfter = 2 * deadlineGrace
 
-// errSuperseded says that the process that had a request has ended, and errOverdue that the
-// caller's time was over.
+// errSuperseded reports that the process that had a request no longer exists, and errOverdue that
+// the deadline passed while the timers did not run.
 var (
-	errSuperseded = errors.New("the instance started again, or another one has its address")
-	errOverdue    = errors.New("the time was over while the machine was suspended")
+	errSuperseded = errors.New("the instance restarted, or another one has its address")
+	errOverdue    = errors.New("deadline exceeded while the machine was suspended")
 )
 
-// sends are the attempts under way, each with what ends it. A request has one at a time.
-type sends map[*job]sent
+// inFlight maps each job to its attempt in flight. A request has one attempt at a time.
+type inFlight map[*job]inFlightAttempt
 
-// sent is one attempt under way.
-type sent struct {
-	to  registry.Instance
-	end context.CancelCauseFunc
+// inFlightAttempt is one attempt in flight.
+type inFlightAttempt struct {
+	target registry.Instance
+	cancel context.CancelCauseFunc
 }
 
-// track notes the present attempt until over is called. It ends with the context that is returned,
-// which is cancelled once the instance is known to have started again: a connection to a process
-// that fell silent stays silent, and its answer can't come any more.
-func (j *job) track(ctx context.Context) (tracked context.Context, over func()) {
+// track registers the current attempt until release is called. The attempt must use the returned
+// context, which is canceled once the instance is known to have restarted: when the old process
+// vanished without closing its connections, the attempt would otherwise wait for a response that
+// cannot come.
+func (j *job) track(ctx context.Context) (tracked context.Context, release func()) {
 	s := j.server
-	tracked, end := context.WithCancelCause(ctx)
+	tracked, cancel := context.WithCancelCause(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sends[j] = sent{to: j.instance, end: end}
+	s.inFlight[j] = inFlightAttempt{target: j.instance, cancel: cancel}
 	return tracked, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.sends, j)
-		end(nil)
+		delete(s.inFlight, j)
+		cancel(nil)
 	}
 }
 
-// superseded reports whether an attempt was ended because its instance had started again.
+// superseded reports whether an attempt was canceled because its instance had restarted.
 func superseded(tracked context.Context) bool { return context.Cause(tracked) == errSuperseded }
 
-// endSuperseded ends the attempts at processes that have ended, and those whose deadline the
-// machine slept through: the timers that end them in time stand still meanwhile. mu must be held.
-func (s *Server) endSuperseded() {
-	if len(s.sends) == 0 {
+// cancelStale cancels the attempts at instances that were superseded, and those whose deadline passed
+// while the machine was suspended, when the timers that enforce it do not advance. mu must be held.
+func (s *Server) cancelStale() {
+	if len(s.inFlight) == 0 {
 		return
 	}
 	replaced := s.View().Superseded()
 	now := clock.Now()
-	for j, a := range s.sends {
+	for j, a := range s.inFlight {
 		switch {
-		case replaced(a.to):
-			a.end(errSuperseded)
+		case replaced(a.target):
+			a.cancel(errSuperseded)
 		case now.Sub(j.deadline) > overdueAfter:
-			a.end(errOverdue)
+			a.cancel(errOverdue)
 		}
 	}
 }
--- a/internal/transport/serving/weights.go
+++ b/internal/transport/serving/weights.go
@@ -11,40 +11,42 @@
 	"github.com/shedrock/shedrock/internal/transport/fleet"
 )
 
-// What keeps requests from beginning on old weights once their time is over is decided here, at
-// each sending, by what this process knows by itself of when newer ones were named; and by the
-// engine, which refuses a version that it does not have. How far the engines have been brought
-// to the newest version decides only how many of them can serve.
+// Two checks prevent requests from beginning on old weights after their grace period: this process
+// decides before each attempt, from the times at which it knows newer versions to have been
+// announced, and the engine refuses a version that it does not have. The progress of the rollout only
+// decides how many engines can serve.
 
 const (
-	// weightsMargin is how much before the end of their time old weights are left alone: it
-	// covers how late this process heard of a naming, and how long what it sends, or takes
-	// back, is on its way to an engine. weightsMarginShare bounds it to a part of short times.
-	weightsMargin      = 1500 * time.Millisecond
-	weightsMarginShare = 4
-	// weightsRetryAfter is when a caller may come back for whom no engine has the weights that
-	// are required: about the time in which one loads them.
+	// weightsMargin is how long before the end of their grace period old weights are no longer used.
+	// It covers the delay with which this process learns of an announcement, and the time that a
+	// request or its cancellation takes to reach an engine. weightsMarginDivisor limits the margin to
+	// a fraction of a short grace period.
+	weightsMargin        = 1500 * time.Millisecond
+	weightsMarginDivisor = 4
+	// weightsRetryAfter is the Retry-After when no engine has the required weights: about the time
+	// in which an engine loads them.
 	weightsRetryAfter = time.Second
 )
 
-// oldWeights is how long after a naming this process uses older weights.
-func (s *Server) oldWeights() time.Duration {
-	return s.OldWeightsGrace - min(weightsMargin, s.OldWeightsGrace/weightsMarginShare)
+// oldWeightsGrace returns how long after the announcement of newer weights this process uses older ones.
+func (s *Server) oldWeightsGrace() time.Duration {
+	return s.OldWeightsGrace - min(weightsMargin, s.OldWeightsGrace/weightsMarginDivisor)
 }
 
-// requiredWeights returns the oldest version of a model on which a request may begin.
+// requiredWeights returns the oldest weight version of a model on which a request may begin.
 func (s *Server) requiredWeights(view *fleet.View, model string, now time.Time) uint64 {
-	return view.Named[model].Required(now, view.OldWeights(s.oldWeights(), now))
+	return view.Named[model].Required(now, view.OldWeights(s.oldWeightsGrace(), now))
 }
 
-// weightsEnd returns until when a request may begin on a version of a model; ok is false while
-// no end of it is known.
-func (s *Server) weightsEnd(view *fleet.View, model string, version uint64, now time.Time) (end time.Time, ok bool) {
-	return view.Named[model].Until(version, view.OldWeights(s.oldWeights(), now))
+// weightsExpiry returns the time until which a request may begin on a version of a model. ok is false
+// while none is known.
+func (s *Server) weightsExpiry(view *fleet.View, model string, version uint64, now time.Time) (expiry time.Time, ok bool) {
+	return view.Named[model].Until(version, view.OldWeights(s.oldWeightsGrace(), now))
 }
 
-// usable leaves out the engines on which the request may not begin any more. One whose answer
-// is no stream is not seen to begin, so it must have ended before.
+// usable returns the instances of the service without the engines on whose weights the request may no
+// longer begin. A streamed request is expected to begin within the route's objective. The beginning of
+// any other request cannot be observed, so its deadline must be before the expiry.
 func (j *job) usable(view *fleet.View, now time.Time) []registry.Instance {
 	all := view.Instances[j.service]
 	if !j.needsWeights(view) {
@@ -56,8 +58,8 @@
 	}
 	model := j.request.Prompt.Model
 	tooOld := func(in registry.Instance) bool {
-		end, ends := j.server.weightsEnd(view, model, in.Weights[model], now)
-		return ends && !by.Before(end)
+		expiry, expires := j.server.weightsExpiry(view, model, in.Weights[model], now)
+		return expires && !by.Before(expiry)
 	}
 	if !slices.ContainsFunc(all, tooOld) {
 		return all
@@ -65,24 +67,24 @@
 	return slices.DeleteFunc(slices.Clone(all), tooOld)
 }
 
-// needsWeights reports whether the request is a prompt for engines.
+// needsWeights reports whether the request is a prompt for a service of engines.
 func (j *job) needsWeights(view *fleet.View) bool {
 	return j.request.Prompt != nil && view.Config.Services[j.service].Engine != nil
 }
 
-// mustName reports whether an attempt must name the version that its engine is believed to have,
-// so that the engine refuses it on another: that is so unless the time of that version is over
-// as soon as that of the oldest. Then the engine may run it on whatever it has, until that
-// end; if it were asked for the version, it would refuse while it is not known yet that it has
-// loaded newer ones, and each refusal is a repeated send.
-func (j *job) mustName(model string, version uint64) bool {
+// mustPin reports whether an attempt must carry the weight version that its engine is believed to
+// have, so that the engine refuses it under any other version. It must, unless that version expires
+// at the same time as the oldest one: then the engine may run the request on whatever version it
+// has until that time. Pinning the version in that case would make an engine refuse requests
+// until this process knows that it has loaded newer weights, and each refusal costs a resend.
+func (j *job) mustPin(model string, version uint64) bool {
 	view, now := j.server.View(), clock.Now()
-	end, ends := j.server.weightsEnd(view, model, version, now)
-	oldest, _ := j.server.weightsEnd(view, model, 0, now)
-	return !ends || !end.Equal(oldest)
+	expiry, expires := j.server.weightsExpiry(view, model, version, now)
+	oldest, _ := j.server.weightsExpiry(view, model, 0, now)
+	return !expires || !expiry.Equal(oldest)
 }
 
-// noWeights is the end of a request for which every engine's weights are too old.
+// noWeights returns the outcome of a request when the weights of every engine are too old.
 func (j *job) noWeights() outcome.Outcome {
 	if j.number > 0 {
 		return j.tries.GiveUp()
@@ -90,8 +92,9 @@
 	return outcome.NotRun{RetryAfter: weightsRetryAfter, Reason: outcome.ReasonOldWeights}
 }
 
-// tellRequired logs what is required of each model when that rises; mu must be held.
-func (s *Server) tellRequired(now time.Time) {
+// reportRequired updates the weights metrics, and logs the required version of each model when it
+// rises. mu must be held.
+func (s *Server) reportRequired(now time.Time) {
 	view := s.View()
 	for model, named := range view.Named {
 		required := s.requiredWeights(view, model, now)
@@ -103,11 +106,11 @@
 				}
 			}
 		}
-		s.Metrics.weights(model, newest, required, older)
-		if required <= s.required[model] {
+		s.Metrics.setWeights(model, newest, required, older)
+		if required <= s.requiredLogged[model] {
 			continue
 		}
-		s.required[model] = required
+		s.requiredLogged[model] = required
 		s.Log.Info().Str("event", "weights_required").Str("model", model).Uint64("version", required).Uint64("newest", newest).Int("engines_older", older).Msg("")
 	}
 }
--- a/internal/transport/serving/weights_known.go
+++ b/internal/transport/serving/weights_known.go
@@ -10,45 +10,45 @@
 	"github.com/shedrock/shedrock/internal/state/weights"
 )
 
-// weightsKnown is what was known of weights when an attempt was sent.
-type weightsKnown struct {
-	// sent is the only version under which the engine was to run it, 0 for any.
-	sent uint64
-	// believed is the version that the engine was believed to have, as told says.
+// weightsSnapshot is what was known about weight versions when an attempt was sent.
+type weightsSnapshot struct {
+	// pinned is the only version under which the engine may run the attempt, 0 for any.
+	pinned uint64
+	// believed is the version that the engine was believed to have, and source how that was known.
 	believed uint64
-	told     registry.Word
-	// named is what was known of the versions that were named, and required the oldest on which
+	source   registry.Word
+	// history holds the versions known to have been announced, and required is the oldest on which
 	// a request might begin.
-	named    weights.History
+	history  weights.History
 	required uint64
 	at       time.Time
 }
 
-// knownWeights returns what is known for the present attempt, which asks for a version.
-func (j *job) knownWeights(sent uint64) weightsKnown {
+// snapshotWeights returns the weights state for the current attempt, which is pinned to a version.
+func (j *job) snapshotWeights(pinned uint64) weightsSnapshot {
 	model := j.request.Prompt.Model
 	now := clock.Now()
 	view := j.server.View()
-	return weightsKnown{
-		sent: sent, believed: j.instance.Weights[model], told: j.instance.Told,
-		named: view.Named[model], required: j.server.requiredWeights(view, model, now), at: now,
+	return weightsSnapshot{
+		pinned: pinned, believed: j.instance.Weights[model], source: j.instance.Told,
+		history: view.Named[model], required: j.server.requiredWeights(view, model, now), at: now,
 	}
 }
 
-// fields adds to a line which version the attempt was sent for, which one the engine was
-// believed to have, from whom that was known and since when, and what was named when. Ages are
-// those at the sending.
-func (k weightsKnown) fields(line *log.Entry) *log.Entry {
+// addTo adds to a log line the version that the attempt was pinned to, the version that the engine was
+// believed to have with the source and age of that report, and the announced versions. Ages are
+// relative to the time of sending.
+func (k weightsSnapshot) addTo(line *log.Entry) *log.Entry {
 	if k.at.IsZero() {
 		return line
 	}
 	by := "heartbeat"
-	if k.told.Asked {
+	if k.source.Asked {
 		by = "question"
 	}
-	line = line.Uint64("weights_sent", k.sent).Uint64("weights_believed", k.believed).Str("weights_by", by).Str("weights_from", k.told.Via).
-		Dur("weights_age_ms", k.at.Sub(k.told.At)).Uint64("weights_required", k.required).Uint64("weights_newest", k.named.Newest())
-	if newestAt, ok := k.named.NewestAt(); ok {
+	line = line.Uint64("weights_sent", k.pinned).Uint64("weights_believed", k.believed).Str("weights_by", by).Str("weights_from", k.source.Via).
+		Dur("weights_age_ms", k.at.Sub(k.source.At)).Uint64("weights_required", k.required).Uint64("weights_newest", k.history.Newest())
+	if newestAt, ok := k.history.NewestAt(); ok {
 		line = line.Dur("weights_newest_age_ms", k.at.Sub(newestAt))
 	}
 	return line
