--- a/internal/transport/ends/ends.go
+++ b/internal/transport/ends/ends.go
@@ -1,10 +1,10 @@
-// Package ends finds out which instances ended under which requests, keeps what other entries
-// found, and says what becomes of further attempts. Both ways into the system use it; package
-// quarantine decides.
+// Package ends detects which instances ended, that is, whose processes exited or crashed, while they
+// served which requests. It shares these facts with other entries, and reports for each attempt
+// whether package quarantine holds the request. Packages serving and entry both use it.
 //
-// A connection that closed is no end: instances close connections, answers are lost, and links
-// are cut. An end is seen when the instance's address refuses connections right after an attempt
-// broke off there, or when another incarnation has its id or its address soon afterwards.
+// A closed connection alone is not evidence of an end: instances close connections, responses are
+// lost, and links fail. An end is recorded when the instance's address refuses connections right
+// after an attempt broke there, or when another incarnation has its id or its address soon afterwards.
 package ends
 
 import (
@@ -22,90 +22,92 @@
 )
 
 const (
-	// reviewInterval is how often it is looked whether another incarnation has taken the place of
-	// one at which an attempt broke off.
+	// reviewInterval is how often it is checked whether another incarnation has taken the id or
+	// address of an undecided attempt's instance. An attempt is undecided when it broke or was
+	// abandoned by its caller and it is not known whether the instance ended.
 	reviewInterval = 250 * time.Millisecond
-	// reviewFor is for how long that is looked for: an instance is back, and has reported, some
-	// seconds after its end.
-	reviewFor = 10 * time.Second
-	// sweepInterval is how often old facts are forgotten.
+	// reviewWindow is how long an attempt remains undecided: an instance is back, and has sent a
+	// heartbeat, some seconds after its end.
+	reviewWindow = 10 * time.Second
+	// sweepInterval is how often old facts are removed.
 	sweepInterval = 10 * time.Second
-	// refusesTime bounds the question whether an instance's address refuses connections: a
-	// process that has ended refuses within the way there and back, some milliseconds.
-	refusesTime = 100 * time.Millisecond
-	// refusedFor is for how long after an attempt broke off, or its caller left, its instance must be
-	// found to refuse connections to have ended under it: a request that is left runs on for a
-	// while, and callers send to each instance many times a second.
-	refusedFor = 2 * time.Second
-	// mostBreaks bounds the attempts that broke off, or whose callers left, of which nothing more
-	// is known; each kind has as many.
-	mostBreaks = 256
-	// mostAnswered bounds the requests that are remembered to have come to a good end: with 200
-	// requests a second those of the last 20 s. All that a Tracker keeps is 1.2 MB at most.
-	mostAnswered = 4096
+	// refusalProbeTimeout limits the probe whether an instance's address refuses connections: the
+	// host of a process that has ended refuses within one round trip, some milliseconds.
+	refusalProbeTimeout = 100 * time.Millisecond
+	// refusalWindow is the time after an attempt broke or its caller disconnected in which a refused
+	// connection to its instance counts as an end during that attempt. An abandoned request keeps
+	// running for a while, and each instance receives requests many times a second.
+	refusalWindow = 2 * time.Second
+	// maxUndecided limits the undecided attempts of each kind, broken and abandoned.
+	maxUndecided = 256
+	// maxSucceeded limits the requests that are remembered to have succeeded: at 200 requests/s,
+	// those of the last 20 s. A Tracker uses 1.2 MB at most.
+	maxSucceeded = 4096
 )
 
-// Attempt is one attempt at a request.
+// Attempt is one attempt to run a request at an instance.
 type Attempt struct {
-	// Request is the id in log lines.
+	// Request is the request's id in log lines.
 	Request string
 	Digest  quarantine.Digest
 	To      registry.Instance
 	Sent    time.Time
 }
 
-// Tracker is one entry's part. Set the exported fields, then Run. It is safe for concurrent use.
+// Tracker holds one entry's knowledge of instance ends. Set the exported fields, then call Run. It
+// is safe for concurrent use.
 type Tracker struct {
-	// Entries returns how many entries serve.
+	// Entries returns the number of entries that serve requests.
 	Entries func() int
-	// SupersededCheck returns what tells whether another incarnation has an instance's id or address
-	// now; nil where instances do not tell.
+	// SupersededCheck returns a function that reports whether another incarnation now has an
+	// instance's id or address. It is nil where instances do not report when they started.
 	SupersededCheck func() func(registry.Instance) bool
-	// NoStartTimes says that instances do not tell when they started, so that no incarnation can be
-	// known by name, and none that is taken for ended is heard again.
+	// NoStartTimes is set where instances do not report when they started. Incarnations then cannot
+	// be told apart, and a response never refutes a recorded end.
 	NoStartTimes bool
-	// Metrics counts the ends.
+	// Metrics receives the counts.
 	Metrics *Metrics
-	// Log receives one line for each event.
+	// Log receives one line per event.
 	Log *log.Logger
 
 	once sync.Once
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
-	book *quarantine.FactSet
-	// breaks are the attempts that broke off lately, of which it is not known whether the instance
-	// ended, the oldest first.
-	breaks []broken
-	// left are those whose caller left lately.
-	left []broken
-	// answered holds when requests came to a good end here, and order their digests in a ring.
-	answered map[quarantine.Digest]time.Time
-	order    []quarantine.Digest
-	next     int
-	// learned says of each fact where it is from, and when it is passed on.
-	learned map[quarantine.Key]origin
-	// seen counts the facts that were seen here, and changed is closed and replaced when there is
-	// a new one from anywhere.
-	seen    uint64
-	changed chan struct{}
+	factSet *quarantine.FactSet
+	// broken holds the attempts that broke recently and for which it is not known whether the
+	// instance ended, oldest first.
+	broken []undecidedAttempt
+	// abandoned holds the attempts whose caller disconnected recently, oldest first.
+	abandoned []undecidedAttempt
+	// succeededAt holds when requests succeeded at this entry, and succeededRing their digests in a
+	// ring buffer whose oldest element is at ringNext.
+	succeededAt   map[quarantine.Digest]time.Time
+	succeededRing []quarantine.Digest
+	ringNext      int
+	// origins holds the source of each fact and the time from which it is relayed.
+	origins map[quarantine.Key]origin
+	// localFacts counts the facts that this entry observed itself. changed is closed and replaced
+	// when there is a new fact from any source.
+	localFacts uint64
+	changed    chan struct{}
 }
 
-type broken struct {
+type undecidedAttempt struct {
 	Attempt
 	at time.Time
 }
 
 func (t *Tracker) init() {
 	t.once.Do(func() {
-		t.book = quarantine.New(rand.Uint64())
-		t.answered = map[quarantine.Digest]time.Time{}
-		t.learned = map[quarantine.Key]origin{}
+		t.factSet = quarantine.New(rand.Uint64())
+		t.succeededAt = map[quarantine.Digest]time.Time{}
+		t.origins = map[quarantine.Key]origin{}
 		t.changed = make(chan struct{})
 	})
 }
 
-// Run reviews what is not known yet until ctx ends.
+// Run reviews undecided attempts and removes old facts until ctx ends.
 func (t *Tracker) Run(ctx context.Context) {
 	t.init()
 	review := time.NewTicker(reviewInterval)
@@ -124,81 +126,81 @@
 	}
 }
 
-// Begin says what becomes of an attempt at a request. Unless it is held, done must be called when
-// the attempt has ended.
-func (t *Tracker) Begin(d quarantine.Digest) (verdict quarantine.Verdict, known quarantine.RequestStatus, done func()) {
+// Begin decides whether a request may be sent. Unless it is held, done must be called when the
+// attempt has ended.
+func (t *Tracker) Begin(d quarantine.Digest) (verdict quarantine.Verdict, status quarantine.RequestStatus, done func()) {
 	t.init()
 	entries, now := t.Entries(), clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	verdict = t.book.Decide(d, entries, now)
-	known = t.book.Status(d, entries, now)
+	verdict = t.factSet.Decide(d, entries, now)
+	status = t.factSet.Status(d, entries, now)
 	if hold, held := verdict.(quarantine.Hold); held {
-		t.Metrics.hold(hold)
-		return verdict, known, func() {}
+		t.Metrics.countHold(hold)
+		return verdict, status, func() {}
 	}
-	t.book.Begin(d)
-	return verdict, known, func() {
+	t.factSet.Begin(d)
+	return verdict, status, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.book.Done(d)
+		t.factSet.Done(d)
 	}
 }
 
 // RefusalProbe reports whether an instance's address refuses connections.
 type RefusalProbe func(ctx context.Context, in registry.Instance) bool
 
-// RecordBroken takes the end of an attempt whose answer was not whole, though this side did not end it.
-// refuses is nil where its connection did not close, so that there is nothing to ask.
+// RecordBroken records an attempt whose response was incomplete though this side did not cancel it.
+// refuses is nil if its connection was not closed by the other side: then the address is not probed.
 func (t *Tracker) RecordBroken(ctx context.Context, a Attempt, refuses RefusalProbe) {
 	t.init()
-	if refuses != nil && ask(ctx, a.To, refuses) {
-		t.ended(a, signRefused, clock.Now())
+	if refuses != nil && probe(ctx, a.To, refuses) {
+		t.recordEnd(a, signRefused, clock.Now())
 		t.RecordRefusal(a.To)
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.breaks = undecided(t.breaks, a)
+	t.broken = appendUndecided(t.broken, a)
 }
 
-func ask(ctx context.Context, in registry.Instance, refuses RefusalProbe) bool {
-	ctx, cancel := context.WithTimeout(ctx, refusesTime)
+func probe(ctx context.Context, in registry.Instance, refuses RefusalProbe) bool {
+	ctx, cancel := context.WithTimeout(ctx, refusalProbeTimeout)
 	defer cancel()
 	return refuses(ctx, in)
 }
 
-// RecordAbandoned takes an attempt whose caller left before there was an answer. The request may run on, and
-// end the instance.
+// RecordAbandoned records an attempt whose caller disconnected before there was a response. The
+// request may keep running, and end the instance.
 func (t *Tracker) RecordAbandoned(a Attempt) {
 	t.init()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.left = undecided(t.left, a)
+	t.abandoned = appendUndecided(t.abandoned, a)
 }
 
-// undecided adds an attempt to those of which nothing more is known.
-func undecided(list []broken, a Attempt) []broken {
-	if len(list) >= mostBreaks {
+// appendUndecided appends an attempt to a list of undecided ones, and drops the oldest when it is full.
+func appendUndecided(list []undecidedAttempt, a Attempt) []undecidedAttempt {
+	if len(list) >= maxUndecided {
 		list = list[1:]
 	}
-	return append(list, broken{a, clock.Now()})
+	return append(list, undecidedAttempt{a, clock.Now()})
 }
 
-// RecordRefusal takes that an instance's address refuses connections: what broke off or was left there
-// lately did so as it ended.
+// RecordRefusal records that an instance's address refuses connections: the attempts that broke or
+// were abandoned there recently are recorded as ends.
 func (t *Tracker) RecordRefusal(in registry.Instance) {
 	t.init()
 	now := clock.Now()
-	for _, b := range t.refused(in, now) {
-		t.ended(b.Attempt, signRefused, now)
+	for _, b := range t.takeRecent(in, now) {
+		t.recordEnd(b.Attempt, signRefused, now)
 	}
 }
 
-// refused takes out the attempts that ended lately at an instance.
-func (t *Tracker) refused(in registry.Instance, now time.Time) (out []broken) {
-	there := func(b broken) bool {
-		is := b.To.Incarnation() == in.Incarnation() && now.Sub(b.at) < refusedFor
+// takeRecent removes and returns the undecided attempts at an instance within refusalWindow.
+func (t *Tracker) takeRecent(in registry.Instance, now time.Time) (out []undecidedAttempt) {
+	atInstance := func(b undecidedAttempt) bool {
+		is := b.To.Incarnation() == in.Incarnation() && now.Sub(b.at) < refusalWindow
 		if is {
 			out = append(out, b)
 		}
@@ -206,19 +208,19 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.breaks = slices.DeleteFunc(t.breaks, there)
-	t.left = slices.DeleteFunc(t.left, there)
+	t.broken = slices.DeleteFunc(t.broken, atInstance)
+	t.abandoned = slices.DeleteFunc(t.abandoned, atInstance)
 	return out
 }
 
-// RecordSuperseded takes the end of an attempt at an incarnation whose id or address another one has.
+// RecordSuperseded records an attempt at an incarnation whose id or address another one has.
 func (t *Tracker) RecordSuperseded(a Attempt) {
 	t.init()
-	t.ended(a, signSuperseded, clock.Now())
+	t.recordEnd(a, signSuperseded, clock.Now())
 }
 
-// ended notes that an instance ended under a request.
-func (t *Tracker) ended(a Attempt, sign string, at time.Time) {
+// recordEnd records that an instance ended while it served a request.
+func (t *Tracker) recordEnd(a Attempt, sign string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	of := a.To.Incarnation()
@@ -226,7 +228,7 @@
 		of.Start = -registry.Start(at.UnixMilli())
 	}
 	fact := quarantine.InstanceEnded{Digest: a.Digest, Incarnation: of, Address: a.To.Address, Sent: a.Sent, At: at}
-	if !t.take(fact, origin{at: at}) {
+	if !t.merge(fact, origin{at: at}) {
 		return
 	}
 	t.Metrics.ends.WithLabelValues(sign).Inc()
@@ -234,111 +236,111 @@
 		Int64("start", int64(a.To.Start)).Str("address", a.To.Address).Str("sign", sign).Dur("sent_age_ms", at.Sub(a.Sent)).Msg("")
 }
 
-// RecordSuccess takes a good answer to an attempt. Others are told if an instance ended under the request,
-// or once one does.
+// RecordSuccess records a complete response with a status below 300. Other entries are told if an
+// instance has ended under the request, or as soon as one does.
 func (t *Tracker) RecordSuccess(a Attempt) {
 	t.init()
 	now := clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.remember(a.Digest, now)
-	if t.book.IsSuspected(a.Digest) {
-		t.take(quarantine.RequestSucceeded{Digest: a.Digest, At: now}, origin{at: now})
+	if t.factSet.IsSuspected(a.Digest) {
+		t.merge(quarantine.RequestSucceeded{Digest: a.Digest, At: now}, origin{at: now})
 	}
-	t.heard(a, now)
+	t.recordResponse(a, now)
 }
 
-// RecordResponse takes a word of the instance of an attempt.
+// RecordResponse records that the instance of an attempt responded.
 func (t *Tracker) RecordResponse(a Attempt) {
 	t.init()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard(a, clock.Now())
+	t.recordResponse(a, clock.Now())
 }
 
-func (t *Tracker) heard(a Attempt, now time.Time) {
+func (t *Tracker) recordResponse(a Attempt, now time.Time) {
 	of := a.To.Incarnation()
-	if t.book.PresumedEnded(of) {
-		t.take(quarantine.InstanceResponded{Incarnation: of, At: a.Sent}, origin{at: now})
+	if t.factSet.PresumedEnded(of) {
+		t.merge(quarantine.InstanceResponded{Incarnation: of, At: a.Sent}, origin{at: now})
 	}
 }
 
-// remember keeps when a request came to a good end here; mu must be held.
+// remember keeps the time at which a request succeeded at this entry. mu must be held.
 func (t *Tracker) remember(d quarantine.Digest, now time.Time) {
-	_, known := t.answered[d]
-	t.answered[d] = now
+	_, known := t.succeededAt[d]
+	t.succeededAt[d] = now
 	if known {
 		return
 	}
-	if len(t.order) < mostAnswered {
-		t.order = append(t.order, d)
+	if len(t.succeededRing) < maxSucceeded {
+		t.succeededRing = append(t.succeededRing, d)
 		return
 	}
-	delete(t.answered, t.order[t.next])
-	t.order[t.next] = d
-	t.next = (t.next + 1) % mostAnswered
+	delete(t.succeededAt, t.succeededRing[t.ringNext])
+	t.succeededRing[t.ringNext] = d
+	t.ringNext = (t.ringNext + 1) % maxSucceeded
 }
 
-// review looks whether other incarnations have taken the place of those at which attempts broke
-// off, or that are taken for ended.
+// review checks whether other incarnations have taken the id or address of those at which attempts
+// are undecided, or that are presumed to have ended.
 func (t *Tracker) review(now time.Time) {
-	if t.SupersededCheck == nil || !t.unsettled() {
+	if t.SupersededCheck == nil || !t.needsReview() {
 		return
 	}
 	superseded := t.SupersededCheck()
-	for _, b := range t.over(superseded, now) {
-		t.ended(b.Attempt, signSuperseded, b.at)
+	for _, b := range t.takeSuperseded(superseded, now) {
+		t.recordEnd(b.Attempt, signSuperseded, b.at)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, e := range t.book.UnconfirmedEnds() {
+	for _, e := range t.factSet.UnconfirmedEnds() {
 		if superseded(registry.Instance{ID: e.Incarnation.ID, Start: e.Incarnation.Start, Address: e.Address}) {
-			t.book.ConfirmEnd(e.Incarnation)
+			t.factSet.ConfirmEnd(e.Incarnation)
 		}
 	}
 }
 
-// unsettled reports whether there is anything to review.
-func (t *Tracker) unsettled() bool {
+// needsReview reports whether there is anything to review.
+func (t *Tracker) needsReview() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.breaks) > 0 || len(t.left) > 0 || t.book.Len() > 0
+	return len(t.broken) > 0 || len(t.abandoned) > 0 || t.factSet.Len() > 0
 }
 
-// over takes out the attempts that broke off, or were left, at incarnations that have ended since,
-// and forgets those that are old.
-func (t *Tracker) over(superseded func(registry.Instance) bool, now time.Time) (over []broken) {
+// takeSuperseded removes and returns the undecided attempts at incarnations that have been
+// superseded, and drops those older than reviewWindow.
+func (t *Tracker) takeSuperseded(superseded func(registry.Instance) bool, now time.Time) (out []undecidedAttempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	settled := func(b broken) bool {
+	settled := func(b undecidedAttempt) bool {
 		ended := superseded(b.To)
 		if ended {
-			over = append(over, b)
+			out = append(out, b)
 		}
-		return ended || now.Sub(b.at) >= reviewFor
+		return ended || now.Sub(b.at) >= reviewWindow
 	}
-	t.breaks = slices.DeleteFunc(t.breaks, settled)
-	t.left = slices.DeleteFunc(t.left, settled)
-	return over
+	t.broken = slices.DeleteFunc(t.broken, settled)
+	t.abandoned = slices.DeleteFunc(t.abandoned, settled)
+	return out
 }
 
-// counts returns how many requests are suspected and how many are held.
+// counts returns the numbers of suspected and of held requests.
 func (t *Tracker) counts() (suspected, held int) {
 	t.init()
 	entries := t.Entries()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.book.Counts(entries, clock.Now())
+	return t.factSet.Counts(entries, clock.Now())
 }
 
 func (t *Tracker) sweep(now time.Time) {
 	entries := t.Entries()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.book.Sweep(entries, now)
-	for k := range t.learned {
-		if !t.book.Contains(k) {
-			delete(t.learned, k)
+	t.factSet.Sweep(entries, now)
+	for k := range t.origins {
+		if !t.factSet.Contains(k) {
+			delete(t.origins, k)
 		}
 	}
 }
--- a/internal/transport/ends/ends_test.go
+++ b/internal/transport/ends/ends_test.go
@@ -29,20 +29,20 @@
 	return quarantine.DigestOf("team", []string{"POST", "/"}, fmt.Append(nil, n))
 }
 
-// attempt is one at an instance, of the request with a number.
+// attempt returns an attempt to run request n at an instance.
 func attempt(n int, instance string) ends.Attempt {
 	in := registry.Instance{ID: instance, Start: 1, Address: "at " + instance}
 	return ends.Attempt{Request: "r", Digest: digest(n), To: in, Sent: time.Now()}
 }
 
-// endsOf returns how many ends count against a request.
+// endsOf returns the number of ends that count against request n.
 func endsOf(tracker *ends.Tracker, n int) int {
 	_, c, done := tracker.Begin(digest(n))
 	done()
 	return c.Ends
 }
 
-// A connection that closed is no end, until another incarnation has the instance's place.
+// A closed connection counts as an end only once another incarnation has the instance's id.
 func TestBrokenAttemptIsReviewed(t *testing.T) {
 	next := make(chan struct{})
 	tracker := newTracker()
@@ -67,14 +67,14 @@
 		t.Error("closed connections count: " + diff)
 	}
 	close(next)
-	await.Until(t, 20*time.Second, "the successor is seen", func() bool { return endsOf(tracker, 1) == 1 && endsOf(tracker, 3) == 1 })
+	await.Until(t, 20*time.Second, "the new incarnation is detected", func() bool { return endsOf(tracker, 1) == 1 && endsOf(tracker, 3) == 1 })
 	if diff := cmp.Diff(0, endsOf(tracker, 2)); diff != "" {
-		t.Error("an instance without a successor: " + diff)
+		t.Error("an instance without a new incarnation: " + diff)
 	}
 }
 
-// What was at an instance that refuses connections ended with it, whoever finds out.
-func TestRefusalTellsOfAllThatWasThere(t *testing.T) {
+// One refused connection resolves all undecided attempts at the instance, both broken and abandoned.
+func TestRefusalResolvesAllAttemptsAtInstance(t *testing.T) {
 	tracker := newTracker()
 	tracker.RecordBroken(context.Background(), attempt(1, "a"), nil)
 	tracker.RecordAbandoned(attempt(2, "a"))
@@ -86,13 +86,13 @@
 	}
 }
 
-// An instance that was taken for ended and answers what was sent to it since had not.
-func TestInstanceThatAnswersHadNotEnded(t *testing.T) {
+// A response of an instance to a request sent after its presumed end refutes the end.
+func TestResponseRefutesEnd(t *testing.T) {
 	tracker := newTracker()
 	tracker.RecordBroken(context.Background(), attempt(1, "a"), refuses)
 	tracker.RecordResponse(attempt(2, "b"))
 	if diff := cmp.Diff(1, endsOf(tracker, 1)); diff != "" {
-		t.Error("another instance's word: " + diff)
+		t.Error("response of another instance: " + diff)
 	}
 	tracker.RecordResponse(attempt(2, "a"))
 	if diff := cmp.Diff(0, endsOf(tracker, 1)); diff != "" {
@@ -100,15 +100,15 @@
 	}
 }
 
-// Who has lately answered a request well tells so when it hears that an instance ended under it.
-func TestPopularRequestIsVouchedFor(t *testing.T) {
+// An entry at which a request succeeded recently reports that when it learns of an end under the request.
+func TestSuccessIsReportedAfterEnd(t *testing.T) {
 	tracker := newTracker()
 	tracker.RecordSuccess(attempt(1, "a"))
 	now := time.Now()
 	tracker.Merge("other", []quarantine.Fact{quarantine.InstanceEnded{Digest: digest(1), Incarnation: registry.Incarnation{ID: "b", Start: 1}, Sent: now, At: now}})
-	told := ends.NewReceiverState()
-	await.Until(t, 20*time.Second, "the answer is told", func() bool {
-		for _, f := range tracker.Unsent(told) {
+	receiver := ends.NewReceiverState()
+	await.Until(t, 20*time.Second, "the success is reported", func() bool {
+		for _, f := range tracker.Unsent(receiver) {
 			if _, ok := f.(quarantine.RequestSucceeded); ok {
 				return true
 			}
@@ -117,7 +117,7 @@
 	})
 }
 
-// What all this costs: one attempt at a request that nobody suspects.
+// Measures the tracker's cost for one attempt of a request under which no instance ended.
 func BenchmarkAttempt(b *testing.B) {
 	tracker := newTracker()
 	body := make([]byte, 2<<10)
@@ -129,7 +129,7 @@
 	}
 }
 
-// The same while as many facts are known as are kept, of as many requests as can be.
+// Measures the same with the largest number of facts that is kept, each of another request.
 func BenchmarkAttemptAmidFacts(b *testing.B) {
 	tracker := newTracker()
 	random := rand.New(rand.NewPCG(1, 2))
@@ -144,19 +144,19 @@
 	}
 }
 
-// What it costs to look what a receiver lacks that knows all of as many facts as are kept, as an
-// entry does four times a second for each control instance.
+// Measures a search for unsent facts when the receiver knows all of the largest number of facts that is
+// kept. An entry does this four times a second for each control instance.
 func BenchmarkNothingUntold(b *testing.B) {
 	tracker := newTracker()
 	for n := range 1024 {
 		tracker.RecordBroken(context.Background(), attempt(n, fmt.Sprint(n)), refuses)
 	}
-	told := ends.NewReceiverState()
-	for len(tracker.Unsent(told)) > 0 {
-		told.MarkKnown(tracker.Unsent(told))
+	receiver := ends.NewReceiverState()
+	for len(tracker.Unsent(receiver)) > 0 {
+		receiver.MarkKnown(tracker.Unsent(receiver))
 	}
 	for b.Loop() {
-		tracker.Unsent(told)
+		tracker.Unsent(receiver)
 	}
 }
 
@@ -172,8 +172,8 @@
 	}
 }
 
-// However many requests there are, and however many of them break off, come to a good end or end an
-// instance, an entry keeps a bounded part of them, in a thirtieth of the 64 MB that it has for control.
+// The tracker's memory is bounded whatever the number of requests that break, succeed or end an instance:
+// it stays within a thirtieth of the 64 MB that an entry has for control.
 func TestMemoryIsBounded(t *testing.T) {
 	const requests, most = 50_000, 64 << 20 / 30
 	heap := func() uint64 {
@@ -205,31 +205,30 @@
 	runtime.KeepAlive(tracker)
 }
 
-// While a receiver knows everything, a look at what it lacks costs nothing that grows with the facts:
-// an entry looks several times a second for each control instance. On a fleet of 300 entries days on
-// which many facts were known took twice the processor time, at 0.65 ms a look.
-func TestNothingUntoldCostsLittle(t *testing.T) {
+// Guards against searches for unsent facts whose cost grows with the number of facts even when the
+// receiver knows them all. An entry searches several times a second for each control instance. In a
+// fleet of 300 entries, at 0.65 ms per search, this doubled the CPU time on days with many facts.
+func TestSearchIsCheapWhenNothingIsUnsent(t *testing.T) {
 	const looks, most = 1000, 100 * time.Millisecond
 	tracker := newTracker()
 	for n := range 1024 {
 		tracker.RecordBroken(context.Background(), attempt(n, fmt.Sprint(n)), refuses)
 	}
-	told := ends.NewReceiverState()
-	for facts := tracker.Unsent(told); len(facts) > 0; facts = tracker.Unsent(told) {
-		told.MarkKnown(facts)
+	receiver := ends.NewReceiverState()
+	for facts := tracker.Unsent(receiver); len(facts) > 0; facts = tracker.Unsent(receiver) {
+		receiver.MarkKnown(facts)
 	}
 	began := time.Now()
 	for range looks {
-		tracker.Unsent(told)
+		tracker.Unsent(receiver)
 	}
 	if took := time.Since(began); took > most {
-		t.Errorf("%d looks took %s", looks, took)
+		t.Errorf("%d searches took %s", looks, took)
 	}
 }
 
-// A fact takes this many bytes of a message at most, with names as long as those of an instance
-// usually are.
-func TestSizeOfAFact(t *testing.T) {
+// An encoded fact with names of the usual length is at most 90 bytes long.
+func TestFactSize(t *testing.T) {
 	const most = 90
 	now := time.Now()
 	fact := quarantine.InstanceEnded{Digest: digest(1), Incarnation: registry.Incarnation{ID: "i-4ff39ac445", Start: registry.Start(now.UnixMilli())}, Address: "10.128.64.24:8225", Sent: now, At: now}
@@ -240,5 +239,5 @@
 	}
 }
 
-// refuses says that an instance's address refuses connections.
+// refuses is a RefusalProbe that always reports a refusal.
 func refuses(context.Context, registry.Instance) bool { return true }
--- a/internal/transport/ends/facts.go
+++ b/internal/transport/ends/facts.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	// passOnAfter is how long an entry waits before it passes on what it heard from another one
-	// to whoever does not know it yet: whoever saw it tells all that it reaches within 0.1 s. As
-	// much again is drawn, so that not all entries do.
-	passOnAfter = 300 * time.Millisecond
-	// mostNamed is how many ends of one message are logged each by itself.
-	mostNamed = 3
-	// mostPassedOn bounds the facts in one message, to some 15 KiB.
-	mostPassedOn = 200
+	// relayDelay is how long an entry waits before it relays a fact that it received from another
+	// entry: the entry that observed the fact sends it to all reachable receivers within 0.1 s. A
+	// random delay of up to the same length is added, so that not all entries relay it.
+	relayDelay = 300 * time.Millisecond
+	// maxSingleLogs is the number of ends in one message up to which each gets a log line.
+	maxSingleLogs = 3
+	// maxUnsent limits the facts in one message, to about 15 KiB.
+	maxUnsent = 200
 )
 
-// origin is where a fact is from.
+// origin is the source of a fact.
 type origin struct {
-	// from is empty for what was seen here.
+	// from is empty for a fact that this entry observed itself.
 	from string
 	at   time.Time
-	// passOn is when others are told by this entry.
-	passOn time.Time
+	// relayAt is the time from which this entry sends the fact to others.
+	relayAt time.Time
 }
 
-// take joins a fact and reports whether it was news; mu must be held.
-func (t *Tracker) take(f quarantine.Fact, o origin) bool {
-	if !t.book.Merge(f) {
+// merge adds a fact and reports whether it was new. mu must be held.
+func (t *Tracker) merge(f quarantine.Fact, o origin) bool {
+	if !t.factSet.Merge(f) {
 		return false
 	}
-	o.passOn = o.at
+	o.relayAt = o.at
 	if o.from == "" {
-		t.seen++
+		t.localFacts++
 	} else {
-		o.passOn = o.at.Add(passOnAfter + rand.N(passOnAfter))
+		o.relayAt = o.at.Add(relayDelay + rand.N(relayDelay))
 	}
-	t.learned[f.Key()] = o
+	t.origins[f.Key()] = o
 	close(t.changed)
 	t.changed = make(chan struct{})
 	return true
 }
 
-// Merge joins what others saw. from names who told it.
+// Merge adds facts that were received from the process named from.
 func (t *Tracker) Merge(from string, facts []quarantine.Fact) {
 	if len(facts) == 0 {
 		return
@@ -57,26 +57,27 @@
 	defer t.mu.Unlock()
 	var ends []quarantine.InstanceEnded
 	for _, f := range facts {
-		if !t.take(f, origin{from: from, at: now}) {
+		if !t.merge(f, origin{from: from, at: now}) {
 			continue
 		}
-		t.Metrics.hear(f)
+		t.Metrics.countReceived(f)
 		end, ok := f.(quarantine.InstanceEnded)
 		if !ok {
 			continue
 		}
 		ends = append(ends, end)
-		if at, known := t.answered[end.Digest]; known {
-			t.take(quarantine.RequestSucceeded{Digest: end.Digest, At: at}, origin{at: now})
+		if at, known := t.succeededAt[end.Digest]; known {
+			t.merge(quarantine.RequestSucceeded{Digest: end.Digest, At: at}, origin{at: now})
 		}
 	}
-	t.logHeard(from, ends, now)
+	t.logReceived(from, ends, now)
 }
 
-// logHeard logs the ends that were heard of in one message: each by itself, or their number when
-// there are many, as when a failure domain was lost. Whoever saw an end names it in any case.
-func (t *Tracker) logHeard(from string, ends []quarantine.InstanceEnded, now time.Time) {
-	if len(ends) <= mostNamed {
+// logReceived logs the ends received in one message: each in a line of its own, or only their number
+// when there are many, as after the loss of a failure domain. The entry that observed an end always
+// logs it.
+func (t *Tracker) logReceived(from string, ends []quarantine.InstanceEnded, now time.Time) {
+	if len(ends) <= maxSingleLogs {
 		for _, end := range ends {
 			t.Log.Info().Str("event", "instance_end_heard").Str("digest", end.Digest.String()).Str("instance", end.Incarnation.ID).Int64("start", int64(end.Incarnation.Start)).
 				Str("from", from).Dur("age_ms", now.Sub(end.At)).Msg("")
@@ -98,7 +99,7 @@
 		Dur("oldest_age_ms", now.Sub(oldest)).Dur("newest_age_ms", now.Sub(newest)).Msg("")
 }
 
-// Changed returns what is closed at the next new fact.
+// Changed returns a channel that is closed at the next new fact.
 func (t *Tracker) Changed() <-chan struct{} {
 	t.init()
 	t.mu.Lock()
@@ -106,80 +107,82 @@
 	return t.changed
 }
 
-// LocalFacts returns how many facts were seen here.
+// LocalFacts returns the number of facts that this entry has observed itself.
 func (t *Tracker) LocalFacts() uint64 {
 	t.init()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.seen
+	return t.localFacts
 }
 
-// Snapshot returns the newest facts, and a digest that is the same for trackers that know of the same.
+// Snapshot returns all facts, and a digest that is equal for trackers with the same facts.
 func (t *Tracker) Snapshot() (facts []quarantine.Fact, digest uint64) {
 	t.init()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	facts, _ = t.book.Since(0, t.book.Len())
-	return facts, t.book.Checksum()
+	facts, _ = t.factSet.Since(0, t.factSet.Len())
+	return facts, t.factSet.Checksum()
 }
 
-// ReceiverState is what one receiver knows already. Make one with NewTold. It is not safe for concurrent use.
+// ReceiverState is the set of facts that one receiver is known to have. Create one with
+// NewReceiverState. It is not safe for concurrent use.
 type ReceiverState struct {
-	// when says when each fact was seen that the receiver knows, by what it is about.
+	// when holds the time of observation of each fact that the receiver has.
 	when map[quarantine.Key]time.Time
-	// upTo is the change up to which the receiver knows all.
+	// upTo is the number of the change up to which the receiver has all facts.
 	upTo uint64
 }
 
-// NewReceiverState returns what a receiver knows that was told nothing.
+// NewReceiverState returns the state of a receiver that has no facts.
 func NewReceiverState() *ReceiverState { return &ReceiverState{when: map[quarantine.Key]time.Time{}} }
 
-// MarkKnown notes what a receiver knows.
-func (known *ReceiverState) MarkKnown(facts []quarantine.Fact) {
+// MarkKnown records that the receiver has facts.
+func (receiver *ReceiverState) MarkKnown(facts []quarantine.Fact) {
 	for _, f := range facts {
-		known.when[f.Key()] = f.When()
+		receiver.when[f.Key()] = f.When()
 	}
 }
 
-// MarkUnknown notes what a receiver does not know after all.
-func (known *ReceiverState) MarkUnknown(facts []quarantine.Fact) {
+// MarkUnknown records that the receiver does not have facts, as when sending them failed.
+func (receiver *ReceiverState) MarkUnknown(facts []quarantine.Fact) {
 	for _, f := range facts {
-		delete(known.when, f.Key())
+		delete(receiver.when, f.Key())
 	}
-	known.upTo = 0
+	receiver.upTo = 0
 }
 
-// Reset notes that a receiver knows nothing any more.
-func (known *ReceiverState) Reset() { *known = *NewReceiverState() }
+// Reset records that the receiver has no facts any more.
+func (receiver *ReceiverState) Reset() { *receiver = *NewReceiverState() }
 
-// lacks reports whether a receiver does not know a fact, or an older one in its place.
-func (known *ReceiverState) lacks(f quarantine.Fact) bool {
-	at, told := known.when[f.Key()]
-	return !told || f.When().Sub(at) > quarantine.TimeTolerance
+// lacks reports whether the receiver has no fact with the same key, or only one that is older by more
+// than quarantine.TimeTolerance.
+func (receiver *ReceiverState) lacks(f quarantine.Fact) bool {
+	at, known := receiver.when[f.Key()]
+	return !known || f.When().Sub(at) > quarantine.TimeTolerance
 }
 
-// Unsent returns what a receiver is to be told now, and forgets in known what is forgotten here.
-// What it is known to know already is not looked at again: with 1,024 facts a look took 0.65 ms,
-// four times a second and more for each control instance.
-func (t *Tracker) Unsent(known *ReceiverState) []quarantine.Fact {
+// Unsent returns the facts to send to a receiver now, and removes from its state those that this
+// tracker no longer holds. Changes up to which the receiver has all facts are not searched again:
+// with 1,024 facts a full search took 0.65 ms, four times a second and more for each control instance.
+func (t *Tracker) Unsent(receiver *ReceiverState) []quarantine.Fact {
 	t.init()
 	now := clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known.upTo == t.book.Change() {
+	if receiver.upTo == t.factSet.Change() {
 		return nil
 	}
-	maps.DeleteFunc(known.when, func(k quarantine.Key, _ time.Time) bool { return !t.book.Contains(k) })
+	maps.DeleteFunc(receiver.when, func(k quarantine.Key, _ time.Time) bool { return !t.factSet.Contains(k) })
 	var out []quarantine.Fact
-	upTo := known.upTo
+	upTo := receiver.upTo
 	complete := true
-	for change, f := range t.book.After(known.upTo) {
+	for change, f := range t.factSet.After(receiver.upTo) {
 		switch {
-		case !known.lacks(f):
-		case now.Before(t.learned[f.Key()].passOn):
+		case !receiver.lacks(f):
+		case now.Before(t.origins[f.Key()].relayAt):
 			complete = false
-		case len(out) == mostPassedOn:
-			known.upTo = upTo
+		case len(out) == maxUnsent:
+			receiver.upTo = upTo
 			return out
 		default:
 			out = append(out, f)
@@ -189,8 +192,8 @@
 		}
 	}
 	if complete {
-		upTo = t.book.Change()
+		upTo = t.factSet.Change()
 	}
-	known.upTo = upTo
+	receiver.upTo = upTo
 	return out
 }
