--- a/internal/transport/loads/loads.go
+++ b/internal/transport/loads/loads.go
@@ -1,9 +1,9 @@
-// Package loads asks engines for their queues and the memory that is taken there, while this
-// replica leads the control log, and tells entries.
+// Package loads polls engines for their queue lengths and memory use while this replica leads the
+// control log, and publishes the results to entries.
 //
-// Entries choose by what they see of their own requests, and each of many entries sees one
-// request at an engine now and then: a queue of two seconds at one engine is made of requests
-// of different entries, and none of them knows.
+// Without them, entries balance by their own requests only. With many entries, each sends a request
+// to a given engine only now and then: a queue of two seconds at an engine consists of requests of
+// different entries, and none of these entries can see it.
 package loads
 
 import (
@@ -21,68 +21,68 @@
 )
 
 const (
-	// askInterval is how often an engine is asked: a long prompt is read in 0.2 to 0.3 s, and
-	// then keeps its memory for about 2 s.
-	askInterval = 200 * time.Millisecond
-	// mostAsked bounds the questions a second, so that more engines are asked less often: one
-	// takes a control instance about 0.1 ms of processor time. With 150, 163 engines were asked
-	// each 1.1 s, and 0.74 of the long prompts of a replayed burst were in time; with this each
-	// 0.33 s, and 0.88 (TestLargeFleetNeedsFreshLoads in package balance).
-	mostAsked = 500
-	// atOnce bounds the questions under way: a quarter of 163 engines that fell dark at once are
-	// waited for in a single turn.
-	atOnce = 64
-	// answerTime is how long a turn waits for an engine that answered before: a lost packet is sent
-	// again after 0.2 s, and all entries send on to an engine that fell dark until a turn has ended
-	// without it.
-	answerTime = 400 * time.Millisecond
-	// lostInterval is how often an engine is asked that did not answer, and lostAtOnce how many
-	// of them in one turn: a question to a dark engine takes a second until it is given up.
-	lostInterval = time.Second
-	lostAtOnce   = 16
-	// idleInterval is the pause while another replica leads.
-	idleInterval = 250 * time.Millisecond
+	// pollInterval is how often an engine is polled: the prefill of a long prompt takes 0.2 to
+	// 0.3 s, and the prompt then holds its memory for about 2 s.
+	pollInterval = 200 * time.Millisecond
+	// maxPollsPerSecond limits the polls of all engines together, so that the interval grows with
+	// the number of engines: one poll takes about 0.1 ms of a control instance's CPU time. With 150,
+	// 163 engines were polled every 1.1 s, and 74% of the long prompts of a replayed burst met their
+	// deadline; with 500, every 0.33 s, and 88% (TestLargeFleetNeedsFreshLoads in package balance).
+	maxPollsPerSecond = 500
+	// maxConcurrentPolls limits the polls in flight. If a quarter of 163 engines stop responding at
+	// the same time, a single round waits for all of them at once.
+	maxConcurrentPolls = 64
+	// pollTimeout is how long a round waits for an engine that responded before. TCP retransmits a
+	// lost packet after 0.2 s, and all entries keep sending to an engine that stopped responding
+	// until a round has completed without it.
+	pollTimeout = 400 * time.Millisecond
+	// unresponsiveInterval is how often an unresponsive engine is polled, and maxUnresponsivePolls
+	// how many of them in one round: a poll of an unresponsive engine takes a second to time out.
+	unresponsiveInterval = time.Second
+	maxUnresponsivePolls = 16
+	// followerInterval is the interval between checks for leadership while another replica leads.
+	followerInterval = 250 * time.Millisecond
 )
 
-// Engines speaks to engines.
+// Engines is the client for engines.
 type Engines interface {
-	// Usage returns how many requests wait at an engine, and how much of its memory is taken. The
-	// error is a registry.StartedAgainError when another start of the engine answered.
+	// Usage returns the number of requests that wait at an engine and how much of its memory is
+	// in use. The error is a registry.StartedAgainError when the engine has restarted since.
 	Usage(ctx context.Context, in registry.Instance) (balance.EngineLoad, error)
 }
 
-// Poller asks the engines. Set the exported fields, then Run.
+// Poller polls the engines. Set the exported fields, then call Run.
 type Poller struct {
-	// View returns what is known of the fleet.
+	// View returns the current state of the fleet.
 	View func() *fleet.View
-	// Leading says whether this replica leads.
+	// Leading returns the current term, and whether this replica leads in it.
 	Leading func() (term uint64, ok bool)
 	Engines Engines
-	// Source tells entries.
+	// Source publishes the loads to entries.
 	Source *fleet.Source
-	// Log receives one line for each event.
+	// Log receives one line per event.
 	Log *log.Logger
 
-	// probes are the questions under way that no turn waits for.
+	// probes are the polls of unresponsive engines, for which no round waits.
 	probes sync.WaitGroup
 
 	mu sync.Mutex
-	// lost holds when the engines that do not answer were last asked; it is guarded by mu.
-	lost map[registry.Incarnation]time.Time
+	// unresponsive holds when each unresponsive engine was last polled. It is guarded by mu.
+	unresponsive map[registry.Incarnation]time.Time
 }
 
-// Run asks until ctx ends.
-func (w *Poller) Run(ctx context.Context) {
-	defer w.probes.Wait()
+// Run polls until ctx ends.
+func (p *Poller) Run(ctx context.Context) {
+	defer p.probes.Wait()
 	for ctx.Err() == nil {
 		began := clock.Now()
-		interval := idleInterval
-		if _, leads := w.Leading(); leads {
-			engines := enginesOf(w.View())
-			interval = max(askInterval, time.Duration(len(engines))*time.Second/mostAsked)
-			w.Source.PublishLoads(w.ask(ctx, engines), interval)
+		interval := followerInterval
+		if _, leads := p.Leading(); leads {
+			engines := enginesOf(p.View())
+			interval = max(pollInterval, time.Duration(len(engines))*time.Second/maxPollsPerSecond)
+			p.Source.PublishLoads(p.poll(ctx, engines), interval)
 		} else {
-			w.Source.PublishLoads(nil, 0)
+			p.Source.PublishLoads(nil, 0)
 		}
 		select {
 		case <-time.After(clock.Until(began.Add(interval))):
@@ -104,25 +104,25 @@
 	return out
 }
 
-// ask asks all engines; those that do not answer are left out, as nothing is known of them. Those
-// that did not answer before are asked now and then, and not waited for.
-func (w *Poller) ask(ctx context.Context, engines []registry.Instance) map[registry.Incarnation]balance.EngineLoad {
-	sound, lost := w.part(engines, clock.Now())
-	for _, in := range lost {
-		// What it answers is noted; the next turn asks it with the others.
-		w.probes.Go(func() { _, _ = w.usage(ctx, in) })
+// poll polls all engines and returns the loads of those that respond in time. Engines that did not
+// respond before are polled less often and without waiting for them.
+func (p *Poller) poll(ctx context.Context, engines []registry.Instance) map[registry.Incarnation]balance.EngineLoad {
+	responsive, due := p.partition(engines, clock.Now())
+	for _, in := range due {
+		// If it responds, it is recorded as responsive, and the next round polls it with the others.
+		p.probes.Go(func() { _, _ = p.usage(ctx, in) })
 	}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrentPolls)
 	out := make(map[registry.Incarnation]balance.EngineLoad, len(engines))
-	for _, in := range sound {
+	for _, in := range responsive {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			ctx, cancel := context.WithTimeout(ctx, answerTime)
+			ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 			defer cancel()
-			load, err := w.usage(ctx, in)
+			load, err := p.usage(ctx, in)
 			if err != nil {
 				return
 			}
@@ -135,55 +135,55 @@
 	return out
 }
 
-// usage asks one engine, and notes whether it answers.
-func (w *Poller) usage(ctx context.Context, in registry.Instance) (balance.EngineLoad, error) {
-	load, err := w.Engines.Usage(ctx, in)
+// usage polls one engine and records whether it responds.
+func (p *Poller) usage(ctx context.Context, in registry.Instance) (balance.EngineLoad, error) {
+	load, err := p.Engines.Usage(ctx, in)
 	var again *registry.StartedAgainError
 	if errors.As(err, &again) {
-		w.Source.StartedAgain(again)
+		p.Source.StartedAgain(again)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.note(in, err)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.record(in, err)
 	return load, err
 }
 
-// part parts the engines that answer from those that did not and are to be asked again, and
-// forgets those that are gone.
-func (w *Poller) part(engines []registry.Instance, now time.Time) (sound, again []registry.Instance) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	lost := make(map[registry.Incarnation]time.Time, len(w.lost))
+// partition returns the responsive engines and those unresponsive ones that are due to be polled
+// again. It drops the state of engines that are gone.
+func (p *Poller) partition(engines []registry.Instance, now time.Time) (responsive, due []registry.Instance) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	unresponsive := make(map[registry.Incarnation]time.Time, len(p.unresponsive))
 	for _, in := range engines {
-		at, isLost := w.lost[in.Incarnation()]
-		if !isLost {
-			sound = append(sound, in)
+		at, isUnresponsive := p.unresponsive[in.Incarnation()]
+		if !isUnresponsive {
+			responsive = append(responsive, in)
 			continue
 		}
-		if now.Sub(at) >= lostInterval && len(again) < lostAtOnce {
+		if now.Sub(at) >= unresponsiveInterval && len(due) < maxUnresponsivePolls {
 			at = now
-			again = append(again, in)
+			due = append(due, in)
 		}
-		lost[in.Incarnation()] = at
+		unresponsive[in.Incarnation()] = at
 	}
-	w.lost = lost
-	return sound, again
+	p.unresponsive = unresponsive
+	return responsive, due
 }
 
-// note logs when an engine's answers are lost and found; mu must be held.
-func (w *Poller) note(in registry.Instance, err error) {
-	if w.lost == nil {
-		w.lost = map[registry.Incarnation]time.Time{}
+// record updates whether an engine is responsive, and logs each change. mu must be held.
+func (p *Poller) record(in registry.Instance, err error) {
+	if p.unresponsive == nil {
+		p.unresponsive = map[registry.Incarnation]time.Time{}
 	}
-	_, lost := w.lost[in.Incarnation()]
-	if (err != nil) == lost {
+	_, unresponsive := p.unresponsive[in.Incarnation()]
+	if (err != nil) == unresponsive {
 		return
 	}
 	if err != nil {
-		w.lost[in.Incarnation()] = clock.Now()
-		w.Log.Info().Str("event", "engine_not_heard").Str("instance", in.ID).Int64("start", int64(in.Start)).Str("address", in.Address).Str("error", err.Error()).Msg("")
+		p.unresponsive[in.Incarnation()] = clock.Now()
+		p.Log.Info().Str("event", "engine_not_heard").Str("instance", in.ID).Int64("start", int64(in.Start)).Str("address", in.Address).Str("error", err.Error()).Msg("")
 		return
 	}
-	delete(w.lost, in.Incarnation())
-	w.Log.Info().Str("event", "engine_heard").Str("instance", in.ID).Int64("start", int64(in.Start)).Str("address", in.Address).Msg("")
+	delete(p.unresponsive, in.Incarnation())
+	p.Log.Info().Str("event", "engine_heard").Str("instance", in.ID).Int64("start", int64(in.Start)).Str("address", in.Address).Msg("")
 }
--- a/internal/transport/loads/loads_test.go
+++ b/internal/transport/loads/loads_test.go
@@ -22,29 +22,29 @@
 
 var quiet = &log.Logger{Level: log.PanicLevel}
 
-// engines answers with the loads that it holds; an engine without one does not answer.
+// engines is a fake client that returns the loads that it holds; an engine without one does not respond.
 type engines struct {
 	loads map[string]balance.EngineLoad
-	asked atomic.Int64
-	// dark says which engines answer nothing until the call times out; sound counts the
-	// questions to the others.
-	dark  func(id string) bool
-	sound atomic.Int64
+	polls atomic.Int64
+	// unresponsive reports which engines do not respond until the call times out; responsivePolls
+	// counts the polls of the others.
+	unresponsive    func(id string) bool
+	responsivePolls atomic.Int64
 }
 
-// callTimeout is how long a question to a dark engine takes.
+// callTimeout is how long a poll of an unresponsive engine takes.
 const callTimeout = time.Second
 
 func (e *engines) Usage(ctx context.Context, in registry.Instance) (balance.EngineLoad, error) {
-	e.asked.Add(1)
-	if e.dark != nil && e.dark(in.ID) {
+	e.polls.Add(1)
+	if e.unresponsive != nil && e.unresponsive(in.ID) {
 		select {
 		case <-time.After(callTimeout):
 		case <-ctx.Done():
 		}
 		return balance.EngineLoad{}, errors.New("timed out")
 	}
-	e.sound.Add(1)
+	e.responsivePolls.Add(1)
 	load, ok := e.loads[in.ID]
 	if !ok {
 		return balance.EngineLoad{}, errors.New("no answer")
@@ -52,7 +52,7 @@
 	return load, nil
 }
 
-// viewOf has some engines, and a plain service that is never asked.
+// viewOf returns a view with some engines, and a plain service that must not be polled.
 func viewOf(ids ...string) *fleet.View {
 	view := &fleet.View{
 		Config:    &deployment.Config{Services: map[string]deployment.Service{"llm": {Engine: &deployment.Engine{}}, "plain": {}}},
@@ -64,11 +64,11 @@
 	return view
 }
 
-// Entries are told of the loads of the engines that answer, while the replica leads, and of
-// none once it does not.
-func TestLoadsAreTold(t *testing.T) {
+// Entries receive the loads of the engines that respond while the replica leads, and none once it does
+// not.
+func TestLoadsArePublishedWhileLeading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// The time of a bubble is Go's.
+		// Makes package clock follow the fake time of the synctest bubble.
 		clocktest.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
@@ -81,7 +81,7 @@
 			Engines: e, Source: source, Log: quiet,
 		}
 		go w.Run(ctx)
-		told := func() map[string]balance.EngineLoad {
+		published := func() map[string]balance.EngineLoad {
 			time.Sleep(time.Second)
 			out, err := source.Watch(ctx, &wire.FleetRequest{Entry: true})
 			if err != nil {
@@ -93,41 +93,42 @@
 			}
 			return got
 		}
-		if diff := cmp.Diff(map[string]balance.EngineLoad{}, told()); diff != "" || e.asked.Load() != 0 {
-			t.Error("while another leads: ", e.asked.Load(), diff)
+		if diff := cmp.Diff(map[string]balance.EngineLoad{}, published()); diff != "" || e.polls.Load() != 0 {
+			t.Error("while another leads: ", e.polls.Load(), diff)
 		}
 		leads.Store(true)
-		if diff := cmp.Diff(e.loads, told()); diff != "" {
+		if diff := cmp.Diff(e.loads, published()); diff != "" {
 			t.Error(diff)
 		}
 		leads.Store(false)
-		if diff := cmp.Diff(map[string]balance.EngineLoad{}, told()); diff != "" {
+		if diff := cmp.Diff(map[string]balance.EngineLoad{}, published()); diff != "" {
 			t.Error("once another leads: ", diff)
 		}
 	})
 }
 
-// A quarter of the engines goes dark at once: the others are asked as often as before but for a
-// moment, the dark ones once in one to three seconds, and entries know of them within 0.8 s.
-func TestDarkEnginesHoldUpNobody(t *testing.T) {
+// Guards against slow polls of all engines when a quarter of them stop responding at the same time: apart
+// from a short delay, the others must be polled as often as before and the unresponsive ones every one to
+// three seconds, and entries must lose the loads of the latter within 0.8 s.
+func TestUnresponsiveEnginesDoNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// The time of a bubble is Go's.
+		// Makes package clock follow the fake time of the synctest bubble.
 		clocktest.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
-		const engineCount, darkCount, seconds = 163, 41, 20
+		const engineCount, unresponsiveCount, seconds = 163, 41, 20
 		e := &engines{loads: map[string]balance.EngineLoad{}}
 		var ids []string
-		dark := map[string]bool{}
+		unresponsive := map[string]bool{}
 		for n := range engineCount {
 			id := time.Duration(n).String()
 			ids = append(ids, id)
-			dark[id] = n < darkCount
+			unresponsive[id] = n < unresponsiveCount
 			e.loads[id] = balance.EngineLoad{}
 		}
-		var fell atomic.Bool
-		e.dark = func(id string) bool { return fell.Load() && dark[id] }
+		var stopped atomic.Bool
+		e.unresponsive = func(id string) bool { return stopped.Load() && unresponsive[id] }
 		view := viewOf(ids...)
 		w := &loads.Poller{
 			View: func() *fleet.View { return view }, Leading: func() (uint64, bool) { return 1, true },
@@ -145,26 +146,26 @@
 		if diff := cmp.Diff(engineCount, known()); diff != "" {
 			t.Error(diff)
 		}
-		fell.Store(true)
+		stopped.Store(true)
 		time.Sleep(800 * time.Millisecond)
-		if diff := cmp.Diff(engineCount-darkCount, known()); diff != "" {
-			t.Error("engines that are known after a quarter fell dark: " + diff)
+		if diff := cmp.Diff(engineCount-unresponsiveCount, known()); diff != "" {
+			t.Error("engines with known loads after a quarter stopped responding: " + diff)
 		}
-		e.asked.Store(0)
-		e.sound.Store(0)
+		e.polls.Store(0)
+		e.responsivePolls.Store(0)
 		time.Sleep(seconds * time.Second)
-		each := float64(e.sound.Load()) / (engineCount - darkCount) / seconds
-		ofDark := float64(e.asked.Load()-e.sound.Load()) / darkCount / seconds
-		if each < 2.5 || ofDark > 1 || ofDark < 0.3 {
-			t.Errorf("each sound engine is asked %.2f times a second, each dark one %.2f times", each, ofDark)
+		pollsPerResponsive := float64(e.responsivePolls.Load()) / (engineCount - unresponsiveCount) / seconds
+		pollsPerUnresponsive := float64(e.polls.Load()-e.responsivePolls.Load()) / unresponsiveCount / seconds
+		if pollsPerResponsive < 2.5 || pollsPerUnresponsive > 1 || pollsPerUnresponsive < 0.3 {
+			t.Errorf("each responsive engine is polled %.2f times/s, each unresponsive one %.2f times/s", pollsPerResponsive, pollsPerUnresponsive)
 		}
 	})
 }
 
-// However many engines there are, no more than some are asked in a second.
-func TestQuestionsAreBounded(t *testing.T) {
+// The number of polls per second is bounded whatever the number of engines.
+func TestPollRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// The time of a bubble is Go's.
+		// Makes package clock follow the fake time of the synctest bubble.
 		clocktest.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
@@ -181,8 +182,8 @@
 		}
 		go w.Run(ctx)
 		time.Sleep(time.Minute)
-		if n := e.asked.Load(); n > 550*60 {
-			t.Errorf("%d questions in a minute", n)
+		if n := e.polls.Load(); n > 550*60 {
+			t.Errorf("%d polls in a minute", n)
 		}
 	})
 }
