--- a/internal/transport/control/replica.go
+++ b/internal/transport/control/replica.go
@@ -194,7 +194,7 @@
 	served := make(chan error, 1)
 	go func() { served <- rpc.Serve(serving, r.Listener, r.Handler()) }()
 	go r.found(ctx)
-	orderer := &orders.Orderer{Leading: r.view.leading, CommitToken: r.takeToken, ConfirmLeadership: r.Confirm, Fleet: r.Fleet, PredecessorTimeout: r.WaitOut, Interval: r.OrderInterval, Log: r.Log}
+	orderer := &orders.Controller{Leading: r.view.leading, CommitToken: r.takeToken, ConfirmLeadership: r.Confirm, Fleet: r.Fleet, PredecessorTimeout: r.WaitOut, Interval: r.OrderInterval, Log: r.Log}
 	if orderer.Fleet == nil {
 		orderer.Fleet = &orders.DeclaredEngines{State: r.view.feed.State}
 	}
--- a/internal/transport/orders/orders.go
+++ b/internal/transport/orders/orders.go
@@ -28,8 +28,8 @@
 	DefaultWaitOut = 4 * time.Second
 )
 
-// Orderer gives orders while this replica leads. Set the exported fields, then Run.
-type Orderer struct {
+// Controller gives orders while this replica leads. Set the exported fields, then Run.
+type Controller struct {
 	// Leading says whether this replica leads now, and in which term.
 	Leading func() (term uint64, ok bool)
 	// CommitToken commits a new fencing token.
@@ -51,7 +51,7 @@
 }
 
 // Run gives orders until ctx ends.
-func (o *Orderer) Run(ctx context.Context) {
+func (o *Controller) Run(ctx context.Context) {
 	if o.PredecessorTimeout == 0 {
 		o.PredecessorTimeout = DefaultWaitOut
 	}
@@ -71,7 +71,7 @@
 }
 
 // round reads every engine back and gives the orders that follow.
-func (o *Orderer) round(ctx context.Context) {
+func (o *Controller) round(ctx context.Context) {
 	if !o.entitled(ctx) {
 		return
 	}
@@ -86,7 +86,7 @@
 }
 
 // stillLeads reports whether this replica leads in the term of its token.
-func (o *Orderer) stillLeads(ctx context.Context) bool {
+func (o *Controller) stillLeads(ctx context.Context) bool {
 	term, ok := o.Leading()
 	if !ok || term != o.term {
 		return false
@@ -102,7 +102,7 @@
 }
 
 // give gives one order. A lost answer needs no care: the next round reads back.
-func (o *Orderer) give(ctx context.Context, order rollout.Order) {
+func (o *Controller) give(ctx context.Context, order rollout.Order) {
 	err := o.Fleet.Give(ctx, order, o.token)
 	line := o.Log.Info().Str("event", "order").Str("upstream", order.Name).Str("version", order.Version).Uint64("token", o.token)
 	if err != nil {
@@ -112,7 +112,7 @@
 }
 
 // entitled makes sure that this replica leads and has its term's token.
-func (o *Orderer) entitled(ctx context.Context) bool {
+func (o *Controller) entitled(ctx context.Context) bool {
 	term, ok := o.Leading()
 	if !ok {
 		return false
--- a/internal/transport/orders/registered_test.go
+++ b/internal/transport/orders/registered_test.go
@@ -120,7 +120,7 @@
 }
 
 // newOrderer orders a fleet of engines that all report version 1 in their heartbeats.
-func newOrderer(t *testing.T, e *engines, version uint64) (*orders.Orderer, *fleet.Source) {
+func newOrderer(t *testing.T, e *engines, version uint64) (*orders.Controller, *fleet.Source) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -134,14 +134,14 @@
 		view.Instances["s"] = append(view.Instances["s"], in)
 		source.Hear(in)
 	}
-	return &orders.Orderer{
+	return &orders.Controller{
 		Leading: func() (uint64, bool) { return 1, true }, CommitToken: func(context.Context) (uint64, error) { return 1, nil },
 		ConfirmLeadership: func(context.Context) error { return nil }, PredecessorTimeout: time.Millisecond, Interval: 20 * time.Millisecond, Log: quiet,
 		Fleet: &orders.RegisteredEngines{View: func() *fleet.View { return view }, Engines: e, Holder: "h", Source: source, Log: quiet},
 	}, source
 }
 
-func run(t *testing.T, o *orders.Orderer) {
+func run(t *testing.T, o *orders.Controller) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
