--- a/internal/transport/control/replica.go
+++ b/internal/transport/control/replica.go
@@ -86,7 +86,7 @@
 	// Fleet, when set, is what this replica orders weight versions on while it leads, in
 	// place of the declared engines.
 	Fleet orders.Fleet
-	// WaitOut and OrderInterval are passed on to the orderer.
+	// WaitOut and OrderInterval are passed on to the orders.Controller.
 	WaitOut, OrderInterval time.Duration
 	// Log receives one line for each event.
 	Log *log.Logger
--- a/internal/transport/orders/declared.go
+++ b/internal/transport/orders/declared.go
@@ -14,20 +14,20 @@
 	"github.com/shedrock/shedrock/internal/transport/netdial"
 )
 
-// atOnce bounds the questions to declared engines under way.
-const atOnce = 32
+// maxConcurrentReads limits the engines that are read at the same time.
+const maxConcurrentReads = 32
 
-// Fleet is what orders are given to.
+// Fleet is the set of engines that a Controller gives orders to.
 type Fleet interface {
-	// Read returns what each engine says of its orders.
+	// Read returns the load state that each engine reports.
 	Read(ctx context.Context) []rollout.Instance
-	// Target returns where a model's engines are to be brought.
+	// Target returns the version that a model's engines shall load, and the rollout limits.
 	Target(model string) (rollout.Target, bool)
-	// Give gives one order under a fencing token.
-	Give(ctx context.Context, order rollout.Order, token uint64) error
+	// Issue sends one order to its engine under a fencing token.
+	Issue(ctx context.Context, order rollout.Order, token uint64) error
 }
 
-// DeclaredEngines are the engines of the declared state.
+// DeclaredEngines is the Fleet of the engines in the declared state.
 type DeclaredEngines struct {
 	// State returns the declared state.
 	State func() *declared.State
@@ -36,7 +36,7 @@
 	client *http.Client
 }
 
-// Target returns a declared model's version and bounds.
+// Target returns a declared model's version and rollout limits.
 func (d *DeclaredEngines) Target(name string) (rollout.Target, bool) {
 	model, ok := d.State().Model(name)
 	if !ok {
@@ -45,12 +45,12 @@
 	return rollout.Target{Version: model.WeightVersion(), ConcurrentLoads: model.ConcurrentLoads(), MinServing: model.MinServing()}, true
 }
 
-// Read asks every declared engine for its orders.
+// Read queries the load state of every declared engine.
 func (d *DeclaredEngines) Read(ctx context.Context) []rollout.Instance {
 	upstreams := d.State().Upstreams()
 	out := make([]rollout.Instance, len(upstreams))
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrentReads)
 	for i, u := range upstreams {
 		wg.Go(func() {
 			slots <- struct{}{}
@@ -71,15 +71,15 @@
 	return out
 }
 
-// Give gives one order.
-func (d *DeclaredEngines) Give(ctx context.Context, order rollout.Order, token uint64) error {
+// Issue sends one order to its engine.
+func (d *DeclaredEngines) Issue(ctx context.Context, order rollout.Order, token uint64) error {
 	for _, u := range d.State().Upstreams() {
 		if u.Name() == order.Name {
 			in := engine.Order{Token: token, Version: order.Version}
 			return d.call(ctx, sling.New().Post("http://"+u.Address()+engine.PathOrders).BodyJSON(in), nil)
 		}
 	}
-	return errors.Errorf("there is no upstream %q", order.Name)
+	return errors.Errorf("no upstream %q is declared", order.Name)
 }
 
 func (d *DeclaredEngines) call(ctx context.Context, s *sling.Sling, out any) error {
@@ -93,7 +93,7 @@
 		return err
 	}
 	if res.StatusCode != http.StatusOK {
-		return errors.Errorf("the engine answered %d", res.StatusCode)
+		return errors.Errorf("engine responded with status %d", res.StatusCode)
 	}
 	return nil
 }
--- a/internal/transport/orders/engine_state.go
+++ b/internal/transport/orders/engine_state.go
@@ -7,65 +7,66 @@
 )
 
 const (
-	// quietAfterOrder is how long an engine is not asked after an order: a load takes more
-	// than a second, and questions are charged for.
-	quietAfterOrder = time.Second
-	// loadOverdue is after how long a load holds no place any more, as it may never end: that is
-	// several loads one after the other, and leaves time for the engines that wait. The bound
-	// on how many serve meanwhile holds all the same.
-	loadOverdue = 5 * time.Second
-	// busyShare bounds how often an engine is asked that loads, to once in a part of the time for
-	// which it has: its end is known late by a part of what the load takes. mostBusyWait bounds
-	// the pause where a load never ends.
-	busyShare    = 8
-	mostBusyWait = time.Second
-	// reportHolds is how long the answer of an engine that is not busy is believed: its weights
-	// change by an order of another leader that is carried out late, seconds after it was given.
-	reportHolds = 5 * time.Second
+	// readDelayAfterOrder is how long an engine is not read after an order: a load takes more
+	// than a second, and each read is charged as processor time.
+	readDelayAfterOrder = time.Second
+	// loadOverdueAfter is how long a load counts towards the limit of concurrent loads, as it may
+	// never end. It is the time of several consecutive loads, and leaves time for the engines that
+	// wait. The minimum number of serving engines is enforced all the same.
+	loadOverdueAfter = 5 * time.Second
+	// busyReadDivisor sets the interval at which a loading engine is read: the time that it has
+	// been loading divided by this, so that the end of a load is detected late by a fraction of its
+	// length. maxBusyReadInterval limits the interval when a load never ends.
+	busyReadDivisor     = 8
+	maxBusyReadInterval = time.Second
+	// reportTTL is how long the report of an engine that is not busy is used: a late order of
+	// another leader may change its weights seconds after the order was issued.
+	reportTTL = 5 * time.Second
 )
 
-// engineState is what is known of one engine.
+// engineState is the last known state of one engine.
 type engineState struct {
 	instance registry.Instance
-	// report is its last answer, which came at reported, and asked is false when the next round
-	// must ask again.
-	report   EngineReport
-	reported time.Time
-	asked    bool
-	// given is when it was last ordered, and named since when entries avoid it.
-	given, named time.Time
-	// busy is since when it has been known to load, or zero.
-	busy time.Time
+	// report is its last report, received at reportedAt. reportValid is false when the next round
+	// must read the engine again.
+	report      EngineReport
+	reportedAt  time.Time
+	reportValid bool
+	// orderedAt is when the last order was issued to it, and avoidedSince the time since which
+	// entries have been told to avoid it, or zero.
+	orderedAt, avoidedSince time.Time
+	// busySince is when it was first seen to load, or zero.
+	busySince time.Time
 }
 
-// mustAsk reports whether the engine must be asked before it can be decided about.
-func (s *engineState) mustAsk(now time.Time) bool {
+// needsRead reports whether the engine must be read before the next decision about it.
+func (s *engineState) needsRead(now time.Time) bool {
 	switch {
-	case now.Sub(s.given) < quietAfterOrder:
+	case now.Sub(s.orderedAt) < readDelayAfterOrder:
 		return false
-	case !s.busy.IsZero():
-		return now.Sub(s.reported) >= min(mostBusyWait, now.Sub(s.busy)/busyShare)
+	case !s.busySince.IsZero():
+		return now.Sub(s.reportedAt) >= min(maxBusyReadInterval, now.Sub(s.busySince)/busyReadDivisor)
 	}
-	return !s.asked || now.Sub(s.reported) >= reportHolds
+	return !s.reportValid || now.Sub(s.reportedAt) >= reportTTL
 }
 
-// overdue reports whether the engine has been loading for too long.
+// overdue reports whether the engine has been loading for loadOverdueAfter or longer.
 func (s *engineState) overdue(now time.Time) bool {
-	return !s.busy.IsZero() && now.Sub(s.busy) >= loadOverdue
+	return !s.busySince.IsZero() && now.Sub(s.busySince) >= loadOverdueAfter
 }
 
-// take notes an answer; it reports whether the engine's load became overdue with it.
-func (s *engineState) take(report EngineReport, now time.Time) (overdue bool) {
-	before := s.overdue(s.reported)
+// update applies a report and returns whether the engine's load has just become overdue.
+func (s *engineState) update(report EngineReport, now time.Time) (overdue bool) {
+	before := s.overdue(s.reportedAt)
 	s.report = report
-	s.reported = now
-	// An engine that is not busy stays as it is until it is ordered.
-	s.asked = !report.Busy
+	s.reportedAt = now
+	// An engine that is not busy does not change until it is given an order.
+	s.reportValid = !report.Busy
 	switch {
 	case !report.Busy:
-		s.busy = time.Time{}
-	case s.busy.IsZero():
-		s.busy = now
+		s.busySince = time.Time{}
+	case s.busySince.IsZero():
+		s.busySince = now
 	}
 	return s.overdue(now) && !before
 }
--- a/internal/transport/orders/orders.go
+++ b/internal/transport/orders/orders.go
@@ -1,11 +1,12 @@
-// Package orders gives engines their orders, from the replica that leads the control
-// log.
+// Package orders issues orders to engines, from the replica that leads the control log. An order
+// tells an engine to load a version of a model's weights.
 //
-// A new leader commits a token before its first order, and each order carries it, so
-// that engines which check refuse an older leader's. For engines that do not check it
-// first waits until the leader before must have noticed that it lost its majority and
-// its last order has arrived or timed out. Even so an order of a frozen leader can
-// come later: therefore orders state the wanted end, are read back, and given again.
+// A new leader commits a fencing token before its first order, and each order carries it, so
+// that engines that check tokens refuse the orders of an older leader. For engines that do not
+// check them, the new leader first waits until its predecessor must have noticed that it lost its
+// majority and the predecessor's last order has arrived or timed out. An order of a suspended
+// leader can still arrive later. Therefore an order states the desired version, and engines are
+// read back and given the order again if needed.
 package orders
 
 import (
@@ -19,116 +20,117 @@
 )
 
 const (
-	// DefaultInterval is how often engines are read back.
+	// DefaultInterval is the default interval at which engines are read back.
 	DefaultInterval = 500 * time.Millisecond
-	// callTimeout bounds one question or order.
+	// callTimeout limits one call to an engine or to the control log.
 	callTimeout = time.Second
-	// DefaultWaitOut is longer than an old leader takes to step down (less than two
-	// election times) and its last order takes to arrive or time out.
-	DefaultWaitOut = 4 * time.Second
+	// DefaultPredecessorTimeout is longer than a former leader takes to step down (less than two
+	// election timeouts) plus the time that its last order takes to arrive or time out.
+	DefaultPredecessorTimeout = 4 * time.Second
 )
 
-// Controller gives orders while this replica leads. Set the exported fields, then Run.
+// Controller issues orders while this replica leads. Set the exported fields, then call Run.
 type Controller struct {
-	// Leading says whether this replica leads now, and in which term.
+	// Leading returns the current term, and whether this replica leads in it.
 	Leading func() (term uint64, ok bool)
-	// CommitToken commits a new fencing token.
+	// CommitToken commits a new fencing token and returns it.
 	CommitToken func(context.Context) (uint64, error)
-	// ConfirmLeadership returns nil once a majority has answered after the call that this replica
-	// still leads: one that was frozen believes it for a while.
+	// ConfirmLeadership returns nil once a majority has confirmed, after the call, that this replica
+	// still leads. A replica that was suspended may believe so for a while without leading.
 	ConfirmLeadership func(context.Context) error
-	// Fleet is what orders are given to.
+	// Fleet is the set of engines that receive orders.
 	Fleet Fleet
-	// PredecessorTimeout and Interval have defaults when zero.
+	// PredecessorTimeout is the wait before the first order to engines that do not check tokens, and
+	// Interval the interval between rounds. Zero values mean the defaults.
 	PredecessorTimeout time.Duration
 	Interval           time.Duration
-	// Log receives one line for each event.
+	// Log receives one line per event.
 	Log *log.Logger
 
-	// term is the term for which token was taken, at since.
+	// term is the term for which token was committed, at tokenAt.
 	term, token uint64
-	since       time.Time
+	tokenAt     time.Time
 }
 
-// Run gives orders until ctx ends.
-func (o *Controller) Run(ctx context.Context) {
-	if o.PredecessorTimeout == 0 {
-		o.PredecessorTimeout = DefaultWaitOut
+// Run issues orders until ctx ends.
+func (c *Controller) Run(ctx context.Context) {
+	if c.PredecessorTimeout == 0 {
+		c.PredecessorTimeout = DefaultPredecessorTimeout
 	}
-	if o.Interval == 0 {
-		o.Interval = DefaultInterval
+	if c.Interval == 0 {
+		c.Interval = DefaultInterval
 	}
-	ticker := time.NewTicker(o.Interval)
+	ticker := time.NewTicker(c.Interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			o.round(ctx)
+			c.round(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// round reads every engine back and gives the orders that follow.
-func (o *Controller) round(ctx context.Context) {
-	if !o.entitled(ctx) {
+// round reads all engines back, plans the orders and issues them.
+func (c *Controller) round(ctx context.Context) {
+	if !c.ensureToken(ctx) {
 		return
 	}
-	instances := o.Fleet.Read(ctx)
-	by := rollout.Controller{Token: o.token, PredecessorStopped: clock.Since(o.since) >= o.PredecessorTimeout}
-	for _, order := range rollout.Plan(instances, o.Fleet.Target, by) {
-		if !o.stillLeads(ctx) {
+	instances := c.Fleet.Read(ctx)
+	controller := rollout.Controller{Token: c.token, PredecessorStopped: clock.Since(c.tokenAt) >= c.PredecessorTimeout}
+	for _, order := range rollout.Plan(instances, c.Fleet.Target, controller) {
+		if !c.stillLeads(ctx) {
 			return
 		}
-		o.give(ctx, order)
+		c.issue(ctx, order)
 	}
 }
 
-// stillLeads reports whether this replica leads in the term of its token.
-func (o *Controller) stillLeads(ctx context.Context) bool {
-	term, ok := o.Leading()
-	if !ok || term != o.term {
+// stillLeads reports whether a majority confirms that this replica leads in the term of its token.
+func (c *Controller) stillLeads(ctx context.Context) bool {
+	term, ok := c.Leading()
+	if !ok || term != c.term {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := o.ConfirmLeadership(ctx)
+	err := c.ConfirmLeadership(ctx)
 	if err != nil {
-		o.Log.Info().Str("event", "order_withheld").Uint64("term", term).Str("error", err.Error()).Msg("")
+		c.Log.Info().Str("event", "order_withheld").Uint64("term", term).Str("error", err.Error()).Msg("")
 		return false
 	}
 	return true
 }
 
-// give gives one order. A lost answer needs no care: the next round reads back.
-func (o *Controller) give(ctx context.Context, order rollout.Order) {
-	err := o.Fleet.Give(ctx, order, o.token)
-	line := o.Log.Info().Str("event", "order").Str("upstream", order.Name).Str("version", order.Version).Uint64("token", o.token)
+// issue issues one order. A lost response needs no handling: the next round reads the engine back.
+func (c *Controller) issue(ctx context.Context, order rollout.Order) {
+	err := c.Fleet.Issue(ctx, order, c.token)
+	line := c.Log.Info().Str("event", "order").Str("upstream", order.Name).Str("version", order.Version).Uint64("token", c.token)
 	if err != nil {
 		line = line.Str("error", err.Error())
 	}
 	line.Msg("")
 }
 
-// entitled makes sure that this replica leads and has its term's token.
-func (o *Controller) entitled(ctx context.Context) bool {
-	term, ok := o.Leading()
+// ensureToken reports whether this replica leads, and commits a token if it has none for the term.
+func (c *Controller) ensureToken(ctx context.Context) bool {
+	term, ok := c.Leading()
 	if !ok {
 		return false
 	}
-	if term == o.term {
+	if term == c.term {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	token, err := o.CommitToken(ctx)
+	token, err := c.CommitToken(ctx)
 	if err != nil {
 		return false
 	}
-	o.term = term
-	o.token = token
-	o.since = clock.Now()
-	o.Log.Info().Str("event", "orderer").Uint64("term", term).Uint64("token", token).Msg("")
+	c.term = term
+	c.token = token
+	c.tokenAt = clock.Now()
+	c.Log.Info().Str("event", "orderer").Uint64("term", term).Uint64("token", token).Msg("")
 	return true
 }
--- a/internal/transport/orders/registered.go
+++ b/internal/transport/orders/registered.go
@@ -18,45 +18,46 @@
 )
 
 const (
-	// loadShare is the part of a model's engines that load at once: with a sixth the last of
-	// 14 engines was ordered 11 s after a version was named, with a fifth rounded up 8 s, of the
-	// 12 s that it may take.
-	loadShare = 5
-	// namedBefore is how long entries have avoided an engine before it is ordered: what
-	// comes after the order is refused, and each refusal is a repeated send.
-	namedBefore = 200 * time.Millisecond
-	// orderPending is how long an engine that does not answer after an order still counts
-	// as loading: a load takes about a second, and more while others load.
-	orderPending = 5 * time.Second
+	// loadDivisor sets how many of a model's engines load at the same time: their number divided by
+	// this, rounded up. With a sixth, the last of 14 engines got its order 11 s after a version was
+	// announced, with a fifth after 8 s; the limit is 12 s.
+	loadDivisor = 5
+	// drainTime is how long entries must have avoided an engine before it gets an order. The engine
+	// refuses requests that arrive after the order, and each refusal costs a resend.
+	drainTime = 200 * time.Millisecond
+	// orderPendingFor is how long an engine that does not respond after an order still counts as
+	// loading: a load takes about a second, and longer while other engines load.
+	orderPendingFor = 5 * time.Second
 )
 
-// RegisteredEngines are the engines that registered by heartbeat. Those whose heartbeats
-// show the newest version are not asked, so that a fleet at rest costs no question.
+// RegisteredEngines is the Fleet of the engines that register by heartbeat. Engines whose
+// heartbeats show the newest version are not read, so that an up-to-date fleet causes no calls.
 type RegisteredEngines struct {
-	// View returns what is known of the fleet.
+	// View returns the current state of the fleet.
 	View func() *fleet.View
-	// Engines speaks to them.
+	// Engines is the client for the engines.
 	Engines Engines
-	// Holder names this process in orders.
+	// Holder is the name of this process in orders.
 	Holder string
-	// Source tells entries which engines load, or will next, and what they have loaded.
+	// Source publishes to entries which engines load or will load next, and which versions they have
+	// loaded.
 	Source *fleet.Source
-	// OldWeightsGrace is how long after newer weights are named engines may still serve by older ones;
-	// 0 is without an end.
+	// OldWeightsGrace is how long after the announcement of newer weights engines may still serve
+	// older ones; 0 means without limit.
 	OldWeightsGrace time.Duration
-	// Log receives one line for each event.
+	// Log receives one line per event.
 	Log *log.Logger
 
 	mu sync.Mutex
-	// engines holds what is known of the engines that do not show the newest version, by their
-	// ids, each of the incarnation that was read last; it is guarded by mu.
+	// engines holds the state of the engines that do not show the newest version, by their ids and
+	// each of the incarnation that was read last. It is guarded by mu.
 	engines map[string]*engineState
-	// readable is how many engines of a model the last Read reached, or knows to serve the
-	// newest version: only of these can some load while others serve.
+	// readable is the number of engines of each model that the last Read reached or that serve the
+	// newest version by their heartbeats. The rollout limits are derived from this number.
 	readable map[string]int
 }
 
-// Target returns the newest version named for a model.
+// Target returns the newest version announced for a model, and the rollout limits.
 func (e *RegisteredEngines) Target(model string) (rollout.Target, bool) {
 	view := e.View()
 	version, ok := view.Weights[model]
@@ -66,20 +67,20 @@
 	e.mu.Lock()
 	n := e.readable[model]
 	e.mu.Unlock()
-	target := rollout.Target{Version: text(version), ConcurrentLoads: loadsAtOnce(n), MinServing: n / 2}
+	target := rollout.Target{Version: formatVersion(version), ConcurrentLoads: concurrentLoads(n), MinServing: n / 2}
 	now := clock.Now()
 	if view.Named[model].Required(now, view.OldWeights(e.OldWeightsGrace, now)) >= version {
-		// Those with older weights serve nobody any more.
+		// Engines with older weights get no requests any more.
 		target.MinServing = 0
 	}
 	return target, true
 }
 
-// loadsAtOnce is how many of some engines load at once: one more than a part of them, so
-// that one engine's runs end while others load.
-func loadsAtOnce(engines int) int { return (engines + loadShare - 1) / loadShare }
+// concurrentLoads returns how many of a number of engines load at the same time: a fraction rounded
+// up, so that one engine can complete its runs while others load.
+func concurrentLoads(engines int) int { return (engines + loadDivisor - 1) / loadDivisor }
 
-func text(version uint64) string { return strconv.FormatUint(version, 10) }
+func formatVersion(version uint64) string { return strconv.FormatUint(version, 10) }
 
 // enginesOf returns the instances of the services that run a model.
 func enginesOf(view *fleet.View, model string) []registry.Instance {
@@ -100,8 +101,8 @@
 	return out
 }
 
-// Read returns what the engines say, as far as it must be known, and tells entries which of
-// them to avoid.
+// Read returns the state of the engines, reading only those whose state must be updated, and publishes
+// to entries which engines to avoid.
 func (e *RegisteredEngines) Read(ctx context.Context) []rollout.Instance {
 	view := e.View()
 	out := e.readAll(ctx, view)
@@ -114,24 +115,24 @@
 		switch {
 		case read.Loading != "":
 			loading = append(loading, read.Name)
-		case read.Version != text(view.Weights[read.Model]):
+		case read.Version != formatVersion(view.Weights[read.Model]):
 			waiting = append(waiting, read.Name)
 		}
 	}
 	e.mu.Lock()
 	e.readable = readable
 	e.mu.Unlock()
-	e.forget(view)
-	e.tellBusy(waiting, loading, len(out))
+	e.dropGone(view)
+	e.publishBusy(waiting, loading, len(out))
 	return out
 }
 
-// readAll asks the engines side by side: those that show the newest version are not asked,
-// and others once before an order and again when a load may have ended.
+// readAll reads the engines concurrently. It skips those whose heartbeats show the newest version,
+// and reads the others once before an order and again when a load may have ended.
 func (e *RegisteredEngines) readAll(ctx context.Context, view *fleet.View) []rollout.Instance {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrentReads)
 	var out []rollout.Instance
 	add := func(read rollout.Instance) {
 		mu.Lock()
@@ -141,13 +142,13 @@
 	for model, version := range view.Weights {
 		for _, in := range enginesOf(view, model) {
 			if in.Weights[model] >= version {
-				add(rollout.Instance{Name: in.ID, Model: model, Reachable: true, Version: text(version)})
+				add(rollout.Instance{Name: in.ID, Model: model, Reachable: true, Version: formatVersion(version)})
 				continue
 			}
 			wg.Go(func() {
 				slots <- struct{}{}
 				defer func() { <-slots }()
-				read, ok := e.ask(ctx, in, model, version)
+				read, ok := e.readEngine(ctx, in, model, version)
 				if ok {
 					add(read)
 				}
@@ -158,20 +159,21 @@
 	return out
 }
 
-// tellBusy names the engines that load and those that will next, so that these have little
-// left to end when their order comes: they are ordered by name, as rollout.Plan does.
-func (e *RegisteredEngines) tellBusy(waiting, loading []string, engines int) {
+// publishBusy publishes the engines that load and those that will load next, so that the latter have
+// few running requests left when their order comes. Like rollout.Plan, it picks them in the order of
+// their names.
+func (e *RegisteredEngines) publishBusy(waiting, loading []string, engines int) {
 	slices.Sort(waiting)
-	next := waiting[:min(len(waiting), loadsAtOnce(engines))]
+	next := waiting[:min(len(waiting), concurrentLoads(engines))]
 	names := append(loading, next...)
 	slices.Sort(names)
 	var busy []registry.Incarnation
 	e.mu.Lock()
 	for id, known := range e.engines {
 		if !slices.Contains(names, id) {
-			known.named = time.Time{}
-		} else if known.named.IsZero() {
-			known.named = clock.Now()
+			known.avoidedSince = time.Time{}
+		} else if known.avoidedSince.IsZero() {
+			known.avoidedSince = clock.Now()
 		}
 	}
 	for _, id := range names {
@@ -183,8 +185,8 @@
 	e.Source.PublishBusy(busy)
 }
 
-// forget drops engines that are gone.
-func (e *RegisteredEngines) forget(view *fleet.View) {
+// dropGone removes the state of engines that are no longer live.
+func (e *RegisteredEngines) dropGone(view *fleet.View) {
 	live := map[string]bool{}
 	for _, instances := range view.Instances {
 		for _, in := range instances {
@@ -196,8 +198,8 @@
 	maps.DeleteFunc(e.engines, func(id string, _ *engineState) bool { return !live[id] })
 }
 
-// state returns what is known of an incarnation of an engine: the orders of the one before, and
-// what it was believed to load, say nothing of it. mu must be held.
+// state returns the state of an incarnation of an engine. The state of the previous incarnation is
+// discarded: its orders and its load do not apply to the new one. mu must be held.
 func (e *RegisteredEngines) state(in registry.Instance) *engineState {
 	if e.engines == nil {
 		e.engines = map[string]*engineState{}
@@ -211,16 +213,16 @@
 	return known
 }
 
-// ask reads one engine back. One that does not answer counts only while an order may be
-// under way there: else a failure domain that is cut off would hold up the rest.
-func (e *RegisteredEngines) ask(ctx context.Context, in registry.Instance, model string, wanted uint64) (rollout.Instance, bool) {
+// readEngine reads one engine back if needed. It returns false for an unreachable engine without a pending
+// order: such an engine is left out, or an unreachable failure domain would block the rollout to the others.
+func (e *RegisteredEngines) readEngine(ctx context.Context, in registry.Instance, model string, wanted uint64) (rollout.Instance, bool) {
 	out := rollout.Instance{Name: in.ID, Model: model}
 	e.mu.Lock()
 	known := e.state(in)
-	ask := known.mustAsk(clock.Now())
-	pending := clock.Since(known.given) < orderPending
+	due := known.needsRead(clock.Now())
+	pending := clock.Since(known.orderedAt) < orderPendingFor
 	e.mu.Unlock()
-	if ask {
+	if due {
 		report, err := e.report(ctx, in)
 		var again *registry.StartedAgainError
 		if errors.As(err, &again) {
@@ -230,8 +232,8 @@
 			return out, pending
 		}
 		e.mu.Lock()
-		if known.take(report, clock.Now()) {
-			e.Log.Info().Str("event", "load_overdue").Str("instance", in.ID).Str("model", model).Uint64("version", wanted).Dur("busy_ms", clock.Since(known.busy)).Msg("")
+		if known.update(report, clock.Now()) {
+			e.Log.Info().Str("event", "load_overdue").Str("instance", in.ID).Str("model", model).Uint64("version", wanted).Dur("busy_ms", clock.Since(known.busySince)).Msg("")
 		}
 		e.mu.Unlock()
 		e.Source.Loaded(in, model, report.Weights[model])
@@ -240,11 +242,11 @@
 	defer e.mu.Unlock()
 	now := clock.Now()
 	out.Reachable = true
-	out.AwaitingDrain = known.named.IsZero() || now.Sub(known.named) < namedBefore
-	out.Version = text(min(known.report.Weights[model], wanted))
-	if known.report.Busy || now.Sub(known.given) < quietAfterOrder {
-		// The engine does not say what it loads; an order on top of it is refused.
-		out.Loading = text(wanted)
+	out.AwaitingDrain = known.avoidedSince.IsZero() || now.Sub(known.avoidedSince) < drainTime
+	out.Version = formatVersion(min(known.report.Weights[model], wanted))
+	if known.report.Busy || now.Sub(known.orderedAt) < readDelayAfterOrder {
+		// The engine does not report which version it loads, and refuses an order while it does.
+		out.Loading = formatVersion(wanted)
 		out.LoadOverdue = known.overdue(now)
 	}
 	return out, true
@@ -263,20 +265,20 @@
 	return report, nil
 }
 
-// Give gives one order. Whatever becomes of it, the engine is asked before the next one.
-func (e *RegisteredEngines) Give(ctx context.Context, order rollout.Order, token uint64) error {
+// Issue sends one order to its engine. Whatever its result, the engine is read before the next order.
+func (e *RegisteredEngines) Issue(ctx context.Context, order rollout.Order, token uint64) error {
 	version, err := strconv.ParseUint(order.Version, 10, 64)
 	if err != nil {
-		return errors.Wrap(err, "the version to load")
+		return errors.Wrap(err, "parse the version to load")
 	}
 	e.mu.Lock()
 	known, ok := e.engines[order.Name]
 	if !ok {
 		e.mu.Unlock()
-		return errors.Errorf("engine %q was not read", order.Name)
+		return errors.Errorf("no state of engine %q: it has not been read", order.Name)
 	}
-	known.given = clock.Now()
-	known.asked = false
+	known.orderedAt = clock.Now()
+	known.reportValid = false
 	load := LoadOrder{Model: order.Model, Version: version, Holder: e.Holder, Token: token, AfterOrders: known.report.Orders}
 	in := known.instance
 	e.mu.Unlock()
--- a/internal/transport/orders/registered_test.go
+++ b/internal/transport/orders/registered_test.go
@@ -24,27 +24,28 @@
 
 var quiet = &log.Logger{Level: log.PanicLevel}
 
-// engines is a stand-in of a fleet: each engine takes a moment to load, checks how many
-// orders came before, and may be cut off or leave orders unanswered.
+// engines is a fake fleet: each engine takes loadTime to load, checks the number of orders that it
+// has accepted, and may be unreachable or leave orders unanswered.
 type engines struct {
-	mu       sync.Mutex
-	versions map[string]uint64
-	taken    map[string]uint64
-	busyTill map[string]time.Time
-	cutOff   map[string]bool
-	// endless holds engines whose loads never end.
+	mu          sync.Mutex
+	versions    map[string]uint64
+	accepted    map[string]uint64
+	busyTill    map[string]time.Time
+	unreachable map[string]bool
+	// endless holds the engines whose loads never end.
 	endless map[string]bool
-	// late holds orders that are carried out after newer ones, as they were sent.
+	// late holds unanswered orders, which are executed later than newer ones.
 	late []func()
-	// loseEvery has each so many-th order go unanswered and come late.
+	// Every loseEvery-th order goes unanswered and is executed late, or none if it is 0. most is the
+	// largest number of concurrent loads.
 	loseEvery, orders, most int
-	asked                   int
+	reads                   int
 }
 
 const loadTime = 1200 * time.Millisecond
 
 func newEngines(n int) *engines {
-	e := &engines{versions: map[string]uint64{}, taken: map[string]uint64{}, busyTill: map[string]time.Time{}, cutOff: map[string]bool{}, endless: map[string]bool{}}
+	e := &engines{versions: map[string]uint64{}, accepted: map[string]uint64{}, busyTill: map[string]time.Time{}, unreachable: map[string]bool{}, endless: map[string]bool{}}
 	for i := range n {
 		e.versions[fmt.Sprintf("e%02d", i)] = 1
 	}
@@ -54,8 +55,8 @@
 func (e *engines) Report(_ context.Context, in registry.Instance) (orders.EngineReport, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked++
-	if e.cutOff[in.ID] {
+	e.reads++
+	if e.unreachable[in.ID] {
 		return orders.EngineReport{}, errors.New("cut off")
 	}
 	busy := time.Now().Before(e.busyTill[in.ID])
@@ -63,7 +64,7 @@
 	if busy {
 		version--
 	}
-	return orders.EngineReport{Weights: map[string]uint64{"m": version}, Busy: busy, Orders: e.taken[in.ID]}, nil
+	return orders.EngineReport{Weights: map[string]uint64{"m": version}, Busy: busy, Orders: e.accepted[in.ID]}, nil
 }
 
 func (e *engines) Load(_ context.Context, in registry.Instance, o orders.LoadOrder) error {
@@ -71,18 +72,18 @@
 	defer e.mu.Unlock()
 	e.orders++
 	if e.loseEvery > 0 && e.orders%e.loseEvery == 0 {
-		e.late = append(e.late, func() { _ = e.take(in, o) })
+		e.late = append(e.late, func() { _ = e.execute(in, o) })
 		return errors.New("no answer")
 	}
-	return e.take(in, o)
+	return e.execute(in, o)
 }
 
-// take carries an order out; mu must be held.
-func (e *engines) take(in registry.Instance, o orders.LoadOrder) error {
-	if e.cutOff[in.ID] || time.Now().Before(e.busyTill[in.ID]) || o.AfterOrders != e.taken[in.ID] {
+// execute executes an order. mu must be held.
+func (e *engines) execute(in registry.Instance, o orders.LoadOrder) error {
+	if e.unreachable[in.ID] || time.Now().Before(e.busyTill[in.ID]) || o.AfterOrders != e.accepted[in.ID] {
 		return errors.New("refused")
 	}
-	e.taken[in.ID]++
+	e.accepted[in.ID]++
 	e.versions[in.ID] = o.Version
 	e.busyTill[in.ID] = time.Now().Add(loadTime)
 	if e.endless[in.ID] {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-func (e *engines) runLate() {
+func (e *engines) executeLate() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, f := range e.late {
@@ -119,8 +120,8 @@
 	return n
 }
 
-// newOrderer orders a fleet of engines that all report version 1 in their heartbeats.
-func newOrderer(t *testing.T, e *engines, version uint64) (*orders.Controller, *fleet.Source) {
+// newController returns a Controller for a fleet of engines that all report version 1 in their heartbeats.
+func newController(t *testing.T, e *engines, version uint64) (*orders.Controller, *fleet.Source) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -154,26 +155,26 @@
 	await.Until(t, 40*time.Second, what, done)
 }
 
-// Each engine loads once, a fifth at a time, and is asked a few times at most.
+// Each engine loads once, a fifth of them at a time, and is read a few times at most.
 func TestFleetLoadsInTurn(t *testing.T) {
 	e := newEngines(10)
-	o, _ := newOrderer(t, e, 2)
+	o, _ := newController(t, e, 2)
 	run(t, o)
 	wait(t, "all serve version 2", func() bool { return e.at(2) == 10 })
 	if e.most > 2 || e.orders != 10 {
 		t.Errorf("%d at once, %d orders", e.most, e.orders)
 	}
-	if e.asked > 10*15 {
-		t.Errorf("%d questions for 10 engines", e.asked)
+	if e.reads > 10*15 {
+		t.Errorf("%d reads of 10 engines", e.reads)
 	}
 }
 
-// Orders that go unanswered, and are carried out after newer ones, load nothing twice: the
-// number of orders taken does not fit any more.
-func TestUnansweredOrdersAreGivenAgain(t *testing.T) {
+// Guards against a second load when an order goes unanswered, is issued again, and the first one arrives
+// after it: the engine refuses the late order because its count of accepted orders has changed.
+func TestUnansweredOrdersAreIssuedAgain(t *testing.T) {
 	e := newEngines(6)
 	e.loseEvery = 3
-	o, _ := newOrderer(t, e, 2)
+	o, _ := newController(t, e, 2)
 	run(t, o)
 	wait(t, "all serve version 2", func() bool { return e.at(2) == 6 })
 	wait(t, "none is loading", func() bool {
@@ -186,9 +187,9 @@
 		}
 		return true
 	})
-	e.runLate()
+	e.executeLate()
 	got := map[string]uint64{}
-	for id, n := range e.taken {
+	for id, n := range e.accepted {
 		if n != 1 {
 			got[id] = n
 		}
@@ -198,35 +199,35 @@
 	}
 }
 
-// Engines that are cut off hold up nobody else.
-func TestCutOffEnginesHoldUpNobody(t *testing.T) {
+// Unreachable engines do not block the rollout to the others.
+func TestUnreachableEnginesDoNotBlockOthers(t *testing.T) {
 	e := newEngines(6)
 	for _, id := range []string{"e00", "e01", "e02"} {
-		e.cutOff[id] = true
+		e.unreachable[id] = true
 	}
-	o, _ := newOrderer(t, e, 2)
+	o, _ := newController(t, e, 2)
 	run(t, o)
 	wait(t, "the others serve version 2", func() bool { return e.at(2) == 3 })
 }
 
-// Loads that never end hold up the others for a while only, and cost a question a second.
-func TestEndlessLoadsHoldUpNobodyForLong(t *testing.T) {
+// Loads that never end block the others only until they are overdue, and cost one read per second.
+func TestEndlessLoadsBlockOthersOnlyBriefly(t *testing.T) {
 	e := newEngines(10)
 	for _, id := range []string{"e00", "e01", "e02"} {
 		e.endless[id] = true
 	}
-	o, _ := newOrderer(t, e, 2)
+	o, _ := newController(t, e, 2)
 	run(t, o)
-	wait(t, "all have loaded, or do", func() bool { return e.at(2) == 10 })
-	if e.asked > 10*15+3*45 {
-		t.Errorf("%d questions", e.asked)
+	wait(t, "all have loaded or are loading", func() bool { return e.at(2) == 10 })
+	if e.reads > 10*15+3*45 {
+		t.Errorf("%d reads", e.reads)
 	}
 }
 
-// An engine that is found to have older weights again is ordered again.
-func TestEngineThatFellBackIsOrderedAgain(t *testing.T) {
+// An engine that reports older weights again gets a new order.
+func TestEngineWithOlderWeightsIsOrderedAgain(t *testing.T) {
 	e := newEngines(3)
-	o, _ := newOrderer(t, e, 2)
+	o, _ := newController(t, e, 2)
 	run(t, o)
 	wait(t, "all serve version 2", func() bool { return e.at(2) == 3 })
 	wait(t, "none is loading", func() bool {
@@ -240,11 +241,12 @@
 	wait(t, "it serves version 2 again", func() bool { return e.at(2) == 3 })
 }
 
-// The mark that old weights are due is committed by the leader, once for each version.
-func TestDueWeightsAreMarkedOnce(t *testing.T) {
+// The leader, and only it, commits each version that becomes required once, and again only if a commit
+// failed.
+func TestRequiredWeightsAreCommittedOnce(t *testing.T) {
 	var mu sync.Mutex
 	var history weights.History
-	var marks []uint64
+	var committed []uint64
 	leads := false
 	r := &orders.Requirer{
 		View: func() *fleet.View {
@@ -256,8 +258,8 @@
 		CommitRequired: func(_ context.Context, _ string, version uint64) error {
 			mu.Lock()
 			defer mu.Unlock()
-			marks = append(marks, version)
-			if len(marks) == 1 {
+			committed = append(committed, version)
+			if len(committed) == 1 {
 				return errors.New("no majority")
 			}
 			history = history.Require(version)
@@ -266,7 +268,7 @@
 		OldWeightsGrace: 6 * time.Second, Log: quiet,
 	}
 	synctest.Test(t, func(t *testing.T) {
-		// The time of a bubble is Go's.
+		// Makes package clock follow the fake time of the synctest bubble.
 		clocktest.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
@@ -277,7 +279,7 @@
 		go r.Run(ctx)
 		time.Sleep(2500 * time.Millisecond)
 		mu.Lock()
-		if diff := cmp.Diff(0, len(marks)); diff != "" {
+		if diff := cmp.Diff(0, len(committed)); diff != "" {
 			t.Error("while another leads: ", diff)
 		}
 		leads = true
@@ -285,16 +287,16 @@
 		time.Sleep(10 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		if diff := cmp.Diff([]uint64{2, 2, 3}, marks); diff != "" {
+		if diff := cmp.Diff([]uint64{2, 2, 3}, committed); diff != "" {
 			t.Error(diff)
 		}
 	})
 }
 
-// One that cannot show that it still leads gives no order.
-func TestDeposedLeaderOrdersNothing(t *testing.T) {
+// A replica that cannot confirm its leadership issues no orders.
+func TestDeposedLeaderIssuesNoOrders(t *testing.T) {
 	e := newEngines(3)
-	o, _ := newOrderer(t, e, 2)
+	o, _ := newController(t, e, 2)
 	var asked sync.WaitGroup
 	asked.Add(3)
 	n := 0
--- a/internal/transport/orders/requirer.go
+++ b/internal/transport/orders/requirer.go
@@ -11,30 +11,32 @@
 )
 
 const (
-	// requireInterval is how often it is looked whether the time of old weights is over.
+	// requireInterval is how often the grace period of old weights is checked.
 	requireInterval = time.Second
-	// requireTimeout bounds the commit of one mark.
+	// requireTimeout limits the commit of one required version.
 	requireTimeout = time.Second
 )
 
-// Requirer has the control log remember that the time is over for which requests may begin on
-// old weights. Entries know it by themselves while any process has been running since the
-// version was named; the mark is for when none has: without it, a kill of all processes would
-// give old weights the whole time once more. Set the exported fields, then Run.
+// Requirer commits to the control log which weight version has become required, that is, when the
+// grace period has ended in which requests may begin on older ones. Entries determine this by
+// themselves as long as any process has been running since the version was announced. The committed
+// version covers a restart of all processes, which would otherwise begin the grace period of old
+// weights again. Set the exported fields, then call Run.
 type Requirer struct {
-	// View returns what is known of the fleet.
+	// View returns the current state of the fleet.
 	View func() *fleet.View
-	// Leading says whether this replica leads.
+	// Leading returns the current term, and whether this replica leads in it.
 	Leading func() (term uint64, ok bool)
-	// CommitRequired commits a mark.
+	// CommitRequired commits that a version of a model is required.
 	CommitRequired func(ctx context.Context, model string, version uint64) error
-	// OldWeightsGrace is how long requests may begin on old weights; 0 is without an end.
+	// OldWeightsGrace is how long after the announcement of newer weights requests may begin on older
+	// ones; 0 means without limit.
 	OldWeightsGrace time.Duration
-	// Log receives one line for each event.
+	// Log receives one line per event.
 	Log *log.Logger
 }
 
-// Run looks until ctx ends.
+// Run commits required versions until ctx ends.
 func (r *Requirer) Run(ctx context.Context) {
 	if r.OldWeightsGrace == 0 {
 		return
@@ -44,15 +46,16 @@
 	for {
 		select {
 		case <-ticker.C:
-			r.look(ctx)
+			r.commitDue(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// look commits the marks that are due while this replica leads. One that fails is due again.
-func (r *Requirer) look(ctx context.Context) {
+// commitDue commits the versions that have become required, if this replica leads. A commit that fails
+// is tried again at the next check.
+func (r *Requirer) commitDue(ctx context.Context) {
 	if _, leads := r.Leading(); !leads {
 		return
 	}
