--- a/internal/transport/keeping/keeping.go
+++ b/internal/transport/keeping/keeping.go
@@ -1,5 +1,6 @@
-// Package keeping watches stores of kept context while this replica leads the control log,
-// tells entries what they hold, and frees the room of what is no longer wanted.
+// Package keeping watches the stores of kept context, the KV cache of prompt parts, while this
+// replica leads the control log. It publishes to entries what the stores hold, and frees the parts
+// that are no longer needed.
 package keeping
 
 import (
@@ -16,57 +17,59 @@
 )
 
 const (
-	// pollWait is how long a store holds a question for changes; it is well below
-	// keeping.FetchLease, and above what stores charge for as a probe (200 ms).
+	// pollWait is how long a store holds a request for changes when there are none (long polling).
+	// It is well below keeping.FetchLease, and above 200 ms: a wait of 200 ms or less would be
+	// counted by stores as a probe.
 	pollWait = 400 * time.Millisecond
-	// callTimeout bounds one call on top of its wait.
+	// callTimeout limits a round of calls to a store, in addition to pollWait.
 	callTimeout = time.Second
-	// retryWait is the pause after a failed call, and while another replica leads.
+	// retryWait is the pause after a failed round, and between checks for leadership while another
+	// replica leads.
 	retryWait = 250 * time.Millisecond
-	// watchInterval is how often the list of stores is looked at.
-	watchInterval = 500 * time.Millisecond
-	// relistAfter is how often a store's whole list is read: about one change in a hundred
-	// is never told.
-	relistAfter = 20 * time.Second
-	// freeAtOnce bounds the parts of one call.
-	freeAtOnce = 200
+	// storeListInterval is how often the configured stores are compared with the watched ones.
+	storeListInterval = 500 * time.Millisecond
+	// relistInterval is how often the complete list of a store is read: about 1% of the changes
+	// are never reported.
+	relistInterval = 20 * time.Second
+	// maxFreeParts limits the parts in one Free call.
+	maxFreeParts = 200
 )
 
-// Stores speaks to stores.
+// Stores is the client for stores.
 type Stores interface {
-	// Changes waits until there are changes behind a mark, for wait at most.
+	// Changes returns the changes after the position since. If there are none, it waits for them
+	// for at most wait.
 	Changes(ctx context.Context, address string, since uint64, wait time.Duration) (keeping.Batch, error)
-	// List returns everything that is whole.
+	// List returns all complete parts, the store's epoch and the position for the next Changes call.
 	List(ctx context.Context, address string) (epoch, next uint64, held []keeping.StoredPart, err error)
-	// Free frees parts, unless the store has restarted since epoch or its clock has passed
-	// until.
+	// Free frees parts, unless the store has restarted since epoch or its clock is past until.
 	Free(ctx context.Context, address string, epoch uint64, until time.Duration, parts []keeping.Part) error
 }
 
-// StoreWatcher watches the stores. Set the exported fields, then Run.
+// StoreWatcher watches the stores. Set the exported fields, then call Run.
 type StoreWatcher struct {
-	// View returns what is known of the fleet.
+	// View returns the current state of the fleet.
 	View func() *fleet.View
-	// Leading says whether this replica leads, and in which term; Confirm returns nil once
-	// a majority has answered that it still does.
+	// Leading returns the current term, and whether this replica leads in it. ConfirmLeadership
+	// returns nil once a majority has confirmed that it still leads.
 	Leading           func() (term uint64, ok bool)
 	ConfirmLeadership func(context.Context) error
-	// Source tells entries.
+	// Source publishes the contents of the stores to entries.
 	Source *fleet.Source
 	Stores Stores
-	// Log receives one line for each event.
+	// Log receives one line per event.
 	Log *log.Logger
 }
 
-// Run watches until ctx ends.
+// Run watches the stores until ctx ends.
 func (k *StoreWatcher) Run(ctx context.Context) {
-	ticker := time.NewTicker(watchInterval)
+	ticker := time.NewTicker(storeListInterval)
 	defer ticker.Stop()
 	watched := map[string]context.CancelFunc{}
 	var group sync.WaitGroup
 	defer group.Wait()
 	for {
-		k.rewatch(ctx, watched, &group)
+		k.updateWatches(ctx, watched, &group)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -75,8 +78,8 @@
 	}
 }
 
-// rewatch starts and ends watches as the configuration and the leader change.
-func (k *StoreWatcher) rewatch(ctx context.Context, watched map[string]context.CancelFunc, group *sync.WaitGroup) {
+// updateWatches starts and stops watches so that all configured stores are watched.
+func (k *StoreWatcher) updateWatches(ctx context.Context, watched map[string]context.CancelFunc, group *sync.WaitGroup) {
 	wanted := map[string]deployment.Service{}
 	if config := k.View().Config; config != nil {
 		for _, s := range config.Services {
@@ -96,106 +99,106 @@
 		if watched[address] != nil {
 			continue
 		}
-		watch, cancel := context.WithCancel(ctx)
+		watchCtx, cancel := context.WithCancel(ctx)
 		watched[address] = cancel
-		group.Go(func() { k.watch(watch, *s.Store) })
+		group.Go(func() { k.watch(watchCtx, *s.Store) })
 	}
 }
 
-// watch follows one store, with a new book in each term.
+// watch watches one store until ctx ends, with a new StoreState in each term in which this replica leads.
 func (k *StoreWatcher) watch(ctx context.Context, store deployment.Store) {
 	for ctx.Err() == nil {
 		term, ok := k.Leading()
 		if ok {
-			w := &watch{keeper: k, store: store, term: term, book: k.newBook(store)}
+			w := &termWatch{watcher: k, store: store, term: term, state: k.newState(store)}
 			w.run(ctx)
 		}
 		pause(ctx, retryWait)
 	}
 }
 
-func (k *StoreWatcher) newBook(store deployment.Store) *keeping.StoreState {
+func (k *StoreWatcher) newState(store deployment.Store) *keeping.StoreState {
 	return &keeping.StoreState{
 		Capacity: store.MemoryTokens, NewestVersion: func(model string) uint64 { return k.View().Weights[model] },
 		OpenEpoch: k.View().Stores[store.Address].OpenEpoch,
 	}
 }
 
-// watch is one store in one term of leadership.
-type watch struct {
-	keeper *StoreWatcher
-	store  deployment.Store
-	term   uint64
-	book   *keeping.StoreState
-	listed time.Time
-	lost   bool
+// termWatch is the watch of one store during one term of leadership.
+type termWatch struct {
+	watcher     *StoreWatcher
+	store       deployment.Store
+	term        uint64
+	state       *keeping.StoreState
+	listedAt    time.Time
+	unreachable bool
 }
 
-// run follows the store while this replica leads in the term.
-func (w *watch) run(ctx context.Context) {
+// run watches the store while this replica leads in the term.
+func (w *termWatch) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		term, ok := w.keeper.Leading()
+		term, ok := w.watcher.Leading()
 		if !ok || term != w.term {
 			return
 		}
 		err := w.round(ctx)
-		w.note(err)
+		w.logReachability(err)
 		if err != nil {
 			pause(ctx, retryWait)
 		}
 	}
 }
 
-// note logs when the store is lost and found.
-func (w *watch) note(err error) {
-	if (err != nil) == w.lost {
+// logReachability logs when the store becomes unreachable and reachable again.
+func (w *termWatch) logReachability(err error) {
+	if (err != nil) == w.unreachable {
 		return
 	}
-	w.lost = err != nil
-	if w.lost {
-		w.keeper.Log.Info().Str("event", "store_lost").Str("address", w.store.Address).Str("error", err.Error()).Msg("")
+	w.unreachable = err != nil
+	if w.unreachable {
+		w.watcher.Log.Info().Str("event", "store_lost").Str("address", w.store.Address).Str("error", err.Error()).Msg("")
 		return
 	}
-	w.keeper.Log.Info().Str("event", "store_reached").Str("address", w.store.Address).Uint64("epoch", w.book.Epoch()).Msg("")
+	w.watcher.Log.Info().Str("event", "store_reached").Str("address", w.store.Address).Uint64("epoch", w.state.Epoch()).Msg("")
 }
 
-// round reads the changes, makes sure that this replica still leads, and only then tells
-// entries: whoever leads after it has not begun to free anything before.
-func (w *watch) round(ctx context.Context) error {
+// round reads the changes, confirms that this replica still leads, and only then publishes the parts
+// to entries. So no later leader can have begun to free any of these parts before they were read.
+func (w *termWatch) round(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+pollWait)
 	defer cancel()
-	batch, err := w.keeper.Stores.Changes(ctx, w.store.Address, w.book.Next(), pollWait)
+	batch, err := w.watcher.Stores.Changes(ctx, w.store.Address, w.state.Next(), pollWait)
 	if err != nil {
 		return err
 	}
-	if w.book.ApplyBatch(batch) || clock.Since(w.listed) > relistAfter {
-		epoch, next, held, err := w.keeper.Stores.List(ctx, w.store.Address)
+	if w.state.ApplyBatch(batch) || clock.Since(w.listedAt) > relistInterval {
+		epoch, next, held, err := w.watcher.Stores.List(ctx, w.store.Address)
 		if err != nil {
 			return err
 		}
-		w.book.ApplyList(epoch, next, held, batch.Clock)
-		w.listed = clock.Now()
+		w.state.ApplyList(epoch, next, held, batch.Clock)
+		w.listedAt = clock.Now()
 	}
-	err = w.keeper.ConfirmLeadership(ctx)
+	err = w.watcher.ConfirmLeadership(ctx)
 	if err != nil {
 		return err
 	}
-	w.keeper.Source.PublishStore(w.store.Address, keeping.StoreContents{
-		Until: batch.Clock + keeping.FetchLease, Parts: w.book.Fetchable(batch.Clock),
-		FreeTokens: w.book.FreeTokens(batch.Clock), OpenEpoch: w.book.CurrentOpenEpoch(batch.Clock),
+	w.watcher.Source.PublishStore(w.store.Address, keeping.StoreContents{
+		Until: batch.Clock + keeping.FetchLease, Parts: w.state.Fetchable(batch.Clock),
+		FreeTokens: w.state.FreeTokens(batch.Clock), OpenEpoch: w.state.CurrentOpenEpoch(batch.Clock),
 	})
 	return w.free(ctx, batch.Clock)
 }
 
-// free frees what may be freed.
-func (w *watch) free(ctx context.Context, clock time.Duration) error {
-	parts := w.book.Freeable(clock)
+// free frees the parts that are no longer needed and that no entry may still fetch.
+func (w *termWatch) free(ctx context.Context, clock time.Duration) error {
+	parts := w.state.Freeable(clock)
 	if len(parts) == 0 {
 		return nil
 	}
-	parts = parts[:min(len(parts), freeAtOnce)]
-	err := w.keeper.Stores.Free(ctx, w.store.Address, w.book.Epoch(), clock+callTimeout, parts)
-	line := w.keeper.Log.Info().Str("event", "parts_freed").Str("address", w.store.Address).Int("parts", len(parts))
+	parts = parts[:min(len(parts), maxFreeParts)]
+	err := w.watcher.Stores.Free(ctx, w.store.Address, w.state.Epoch(), clock+callTimeout, parts)
+	line := w.watcher.Log.Info().Str("event", "parts_freed").Str("address", w.store.Address).Int("parts", len(parts))
 	if err != nil {
 		line = line.Str("error", err.Error())
 	}
