--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -34,7 +34,7 @@
 	if !ok {
 		return nil
 	}
-	return j.tries.Reject(hold.RetryAfter, hold.Reason())
+	return j.attempts.Reject(hold.RetryAfter, hold.Reason())
 }
 
 // trackedAttempt returns the current attempt as the tracker of instance ends records it.
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -50,17 +50,17 @@
 	quarantined quarantine.RequestStatus
 	done        func()
 
-	version  uint64
-	route    deployment.Route
-	team     deployment.Team
-	service  string
-	urgency  int
-	deadline time.Time
-	tries    retry.RequestAttempts
-	tried    []registry.Incarnation
-	// instance is the instance of the current attempt, and number counts the attempts.
-	instance registry.Instance
-	number   int
+	version        uint64
+	route          deployment.Route
+	team           deployment.Team
+	service        string
+	urgency        int
+	deadline       time.Time
+	attempts       retry.RequestAttempts
+	triedInstances []registry.Incarnation
+	// instance is the instance of the current attempt, and attemptNumber counts the attempts.
+	instance      registry.Instance
+	attemptNumber int
 	// headSent is true once the head of a stream was forwarded, and lastEvent is the number of
 	// the last event that was forwarded.
 	headSent  bool
@@ -116,7 +116,7 @@
 	j.urgency = config.Urgency(j.team, j.route)
 	j.service = j.route.Service(rand.Float64())
 	j.deadline = r.Arrived.Add(min(j.route.Timeout, r.Patience()))
-	j.tries = retry.RequestAttempts{MaxAttempts: max(1, j.route.Attempts), Idempotent: j.route.Repeats(), Streamed: j.route.Kind == deployment.Stream}
+	j.attempts = retry.RequestAttempts{MaxAttempts: max(1, j.route.Attempts), Idempotent: j.route.Repeats(), Streamed: j.route.Kind == deployment.Stream}
 	j.lastEvent = r.After
 	j.server.mu.Lock()
 	j.server.window(j.service).CountRequest(clock.Now())
@@ -171,7 +171,7 @@
 			j.conclude(next.Outcome)
 			return
 		}
-		step = j.tries.Next(end, j.mayResend)
+		step = j.attempts.Next(end, j.mayResend)
 	}
 }
 
--- a/internal/transport/serving/lines.go
+++ b/internal/transport/serving/lines.go
@@ -12,7 +12,7 @@
 
 // logOutcome logs and counts the outcome of the request.
 func (j *job) logOutcome(o outcome.Outcome) {
-	line := j.line(outcome.Label(o)).Int("attempts", j.number).Str("instance", j.instance.ID).Int64("start", int64(j.instance.Start)).Dur("took_ms", clock.Since(j.request.Arrived))
+	line := j.line(outcome.Label(o)).Int("attempts", j.attemptNumber).Str("instance", j.instance.ID).Int64("start", int64(j.instance.Start)).Dur("took_ms", clock.Since(j.request.Arrived))
 	if j.request.Prompt != nil {
 		line = line.Int("fetch", j.fetchParts).Int("save", j.saveParts).Int("tokens", j.request.Prompt.Tokens)
 	}
@@ -40,7 +40,7 @@
 }
 
 func (j *job) logAttempt(end retry.Result, err error, took time.Duration) {
-	line := j.server.Log.Info().Str("event", "attempt").Str("request", j.request.ID).Int("number", j.number).
+	line := j.server.Log.Info().Str("event", "attempt").Str("request", j.request.ID).Int("number", j.attemptNumber).
 		Str("instance", j.instance.ID).Int64("start", int64(j.instance.Start)).Str("address", j.instance.Address).Uint64("sequence", j.instance.Sequence).
 		Str("end", endLabel(end)).Dur("took_ms", took)
 	line = line.Str("digest", j.digest.String())
@@ -51,7 +51,7 @@
 	line.Msg("")
 }
 
-// endLabel returns the label of an attempt's end; a 5xx response gets a label of its own.
+// endLabel returns the label of an attempt's result; a 5xx response gets a label of its own.
 func endLabel(end retry.Result) string {
 	if whole, ok := end.(retry.Completed); ok && whole.Status >= 500 {
 		return "failed_there"
--- a/internal/transport/serving/pass.go
+++ b/internal/transport/serving/pass.go
@@ -13,7 +13,7 @@
 // errOutOfOrder reports that an event number is not the previous one plus 1.
 var errOutOfOrder = errors.New("event number does not follow the previous one")
 
-// forward converts a reply into the end of an attempt, and forwards the response to the caller if
+// forward converts a reply into the result of an attempt, and forwards the response to the caller if
 // it is one that the caller may see. The first event of a stream stops the weights watch.
 func (j *job) forward(reply exchange.Reply, watch *weightsWatch) (retry.Result, error) {
 	switch reply := reply.(type) {
@@ -48,7 +48,7 @@
 		// The response that was to continue the stream is not a stream.
 		return retry.Broken{Sent: j.lastEvent}, errors.Errorf("expected the rest of the stream, got a response with status %d", a.Head.Status)
 	}
-	if a.Head.Status >= 500 && j.tries.Idempotent {
+	if a.Head.Status >= 500 && j.attempts.Idempotent {
 		j.fallback = &a
 		return retry.Completed{Status: a.Head.Status}, nil
 	}
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -51,7 +51,7 @@
 // must not be sent now.
 func (j *job) place() outcome.Outcome {
 	if clock.Until(j.deadline) < minAttemptTime {
-		return j.tries.GiveUp()
+		return j.attempts.GiveUp()
 	}
 	if o := j.checkQuarantine(); o != nil {
 		return o
@@ -76,7 +76,7 @@
 	defer j.server.mu.Unlock()
 	balancer := j.server.balancer
 	// A resumed stream is not refused: the caller would lose the part that it already has.
-	if j.number == 0 && !j.request.Resumes {
+	if j.attemptNumber == 0 && !j.request.Resumes {
 		room, ok := balancer.Admit(instances, pickInfo, now)
 		if !ok {
 			j.memory = freeMemory{tokens: room, age: now.Sub(view.LoadsAt), ok: true}
@@ -85,14 +85,14 @@
 	}
 	in, ok := balancer.Pick(instances, pickInfo, now)
 	if !ok && allEvacuated(instances, view) {
-		return j.tries.Reject(evacuatedRetryAfter, outcome.ReasonEvacuated)
+		return j.attempts.Reject(evacuatedRetryAfter, outcome.ReasonEvacuated)
 	}
 	if !ok {
 		return j.noInstance(instances, pickInfo, now)
 	}
 	j.instance = in
-	j.tried = append(j.tried, in.Incarnation())
-	j.number++
+	j.triedInstances = append(j.triedInstances, in.Incarnation())
+	j.attemptNumber++
 	j.condition = j.currentCondition(now)
 	j.memory = freeMemory{}
 	if free, ok := balancer.Free(in.Incarnation(), pickInfo, now); ok {
@@ -112,11 +112,11 @@
 func (j *job) noInstance(instances []registry.Instance, pickInfo balance.PickInfo, now time.Time) outcome.Outcome {
 	switch held := j.server.balancer.Backpressure(instances, pickInfo, now).(type) {
 	case balance.Resting:
-		return j.tries.Reject(held.Remaining, outcome.ReasonResting)
+		return j.attempts.Reject(held.Remaining, outcome.ReasonResting)
 	case balance.Limited:
-		return j.tries.Reject(held.Remaining, outcome.ReasonLimited)
+		return j.attempts.Reject(held.Remaining, outcome.ReasonLimited)
 	}
-	return j.tries.GiveUp()
+	return j.attempts.GiveUp()
 }
 
 // allEvacuated reports whether there are instances and all of them are in evacuated failure domains.
@@ -132,7 +132,7 @@
 func (j *job) pickInfo(view *fleet.View) balance.PickInfo {
 	service := view.Config.Services[j.service]
 	pickInfo := balance.PickInfo{
-		Tried: j.tried, Busy: view.Busy, Failing: view.Failing, Retryable: j.route.Repeats(), Entries: view.Entries, Rank: view.Rank,
+		Tried: j.triedInstances, Busy: view.Busy, Failing: view.Failing, Retryable: j.route.Repeats(), Entries: view.Entries, Rank: view.Rank,
 		Cold: j.server.Cold.capacity(service.ColdRate), ColdFor: service.ColdFor, Evacuated: view.Evacuated, Returned: view.Returned,
 	}
 	p := j.request.Prompt
--- a/internal/transport/serving/weights.go
+++ b/internal/transport/serving/weights.go
@@ -86,8 +86,8 @@
 
 // noWeights returns the outcome of a request when the weights of every engine are too old.
 func (j *job) noWeights() outcome.Outcome {
-	if j.number > 0 {
-		return j.tries.GiveUp()
+	if j.attemptNumber > 0 {
+		return j.attempts.GiveUp()
 	}
 	return outcome.NotRun{RetryAfter: weightsRetryAfter, Reason: outcome.ReasonOldWeights}
 }
