--- a/internal/coordination/suspects/replay_test.go
+++ b/internal/coordination/suspects/replay_test.go
@@ -15,166 +15,174 @@
 )
 
 const (
-	// judged is how often a control instance judges, and told how late entries know of it: they tell
-	// what they saw together, and are told with the next news.
-	judged = 200 * time.Millisecond
-	told   = 250 * time.Millisecond
-	// sickAfter is when instances begin to fail, sickFor for how long, and healthyFor for how long the
-	// replay goes on after that.
-	sickAfter  = time.Second
-	sickFor    = 6 * time.Second
-	healthyFor = 6 * time.Second
-	// repeatable is the part of the requests that may run again elsewhere, and try sick instances.
-	repeatable = 0.1
+	// detectInterval is how often a control instance evaluates reports, and propagationDelay how
+	// long it takes until entries know the result: entries batch their reports, and get results
+	// with the next update.
+	detectInterval   = 200 * time.Millisecond
+	propagationDelay = 250 * time.Millisecond
+	// faultyAfter is when instances begin to fail, faultyFor for how long, and recoveredFor for how
+	// long the simulation continues after that.
+	faultyAfter  = time.Second
+	faultyFor    = 6 * time.Second
+	recoveredFor = 6 * time.Second
+	// retryableShare is the share of requests that may be retried elsewhere, and so probe failing
+	// instances.
+	retryableShare = 0.1
 )
 
 var start = time.Unix(0, 0)
 
-// world is a fleet before a service of which some instances answer and fail, for a while.
-type world struct {
+// scenario describes entries in front of a service, some instances of which accept requests and
+// fail them for a while.
+type scenario struct {
 	name               string
 	entries, instances int
-	// rate is how many requests a second there are in all, by teams of unequal size.
-	rate float64
-	sick int
-	// sickShare is the part of its requests that a sick instance fails.
-	sickShare float64
-	// natural is the part of all requests that fail wherever they go.
-	natural float64
-	// hostile is the part of the requests that one team sends, always the same, which always fail.
-	hostile float64
-	// alone says that nobody tells anybody anything.
-	alone bool
+	// rate is the total number of requests per second, by teams of unequal size.
+	rate   float64
+	faulty int
+	// faultyShare is the share of its requests that a faulty instance fails.
+	faultyShare float64
+	// baseFailureShare is the share of all requests that fail on any instance.
+	baseFailureShare float64
+	// hostileShare is the share of the requests that come from a team that repeats one request
+	// which always fails.
+	hostileShare float64
+	// noReports disables all reports, so that each entry relies on its own observations.
+	noReports bool
 }
 
-// judgement is what entries know from a time on.
-type judgement struct {
+// detection is the set of ejected instances that entries know from a time on.
+type detection struct {
 	at      time.Duration
 	failing map[registry.Incarnation]bool
 }
 
-// result is what became of the requests.
+// result holds the measures of a simulation.
 type result struct {
-	// lost counts the requests that sick instances failed and that may not run again, and lostLate those of them later than a
-	// second after they began to.
+	// lost counts the requests that faulty instances failed and that may not be retried, and
+	// lostLate those of them that failed more than a second after the instances became faulty.
 	lost, lostLate int
-	// innocents counts, for each judgement, the instances left alone that are well.
-	innocents int
-	// back is the part of their usual requests that instances get at the end that were sick.
-	back float64
+	// falsePositives counts the healthy instances that are ejected, added up over all detections.
+	falsePositives int
+	// recoveredShare is the share of their usual requests that formerly faulty instances get at the
+	// end.
+	recoveredShare float64
 }
 
-func (w world) play(seed uint64) (out result) {
+func (s scenario) simulate(seed uint64) (out result) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	var all []registry.Instance
-	for n := range w.instances {
+	for n := range s.instances {
 		all = append(all, registry.Instance{ID: fmt.Sprint("i", n), Service: "s", FailureDomain: fmt.Sprint("d", n%4), Slots: 8})
 	}
-	var boards []*balance.Balancer
+	var balancers []*balance.Balancer
 	var collectors []*suspects.Collector
-	for n := range uint64(w.entries) {
-		boards = append(boards, balance.New(seed*1000+n))
+	for n := range uint64(s.entries) {
+		balancers = append(balancers, balance.New(seed*1000+n))
 		collectors = append(collectors, suspects.NewCollector())
 	}
-	book := suspects.New()
-	known := map[registry.Incarnation]bool{}
-	var coming []judgement
-	judgeAt := judged
-	got := 0
-	length := sickAfter + sickFor + healthyFor
-	for at := time.Duration(0); at < length; at += time.Duration(random.ExpFloat64() / w.rate * float64(time.Second)) {
-		clock := start.Add(at)
-		for len(coming) > 0 && at >= coming[0].at {
-			known = coming[0].failing
-			coming = coming[1:]
+	detector := suspects.New()
+	ejected := map[registry.Incarnation]bool{}
+	var pending []detection
+	nextDetection := detectInterval
+	recovered := 0
+	length := faultyAfter + faultyFor + recoveredFor
+	for at := time.Duration(0); at < length; at += time.Duration(random.ExpFloat64() / s.rate * float64(time.Second)) {
+		now := start.Add(at)
+		for len(pending) > 0 && at >= pending[0].at {
+			ejected = pending[0].failing
+			pending = pending[1:]
 		}
-		for ; judgeAt <= at; judgeAt += judged {
-			if w.alone {
+		for ; nextDetection <= at; nextDetection += detectInterval {
+			if s.noReports {
 				continue
 			}
 			for _, c := range collectors {
-				book.Add(c.Drain(), start.Add(judgeAt))
+				detector.Add(c.Drain(), start.Add(nextDetection))
 			}
 			next := map[registry.Incarnation]bool{}
-			coming = append(coming, judgement{judgeAt + told, next})
-			for _, of := range book.Ejected(w.entries, start.Add(judgeAt)) {
+			pending = append(pending, detection{nextDetection + propagationDelay, next})
+			for _, of := range detector.Ejected(s.entries, start.Add(nextDetection)) {
 				next[of] = true
-				if !w.first(of) {
-					out.innocents++
+				if !s.isFaulty(of) {
+					out.falsePositives++
 				}
 			}
 		}
-		e := random.IntN(w.entries)
+		e := random.IntN(s.entries)
 		team := fmt.Sprint("t", random.IntN(1+random.IntN(12)))
-		wish := balance.PickInfo{Key: random.Uint64() | 1, Failing: known, Entries: w.entries, Rank: e, Retryable: random.Float64() < repeatable}
-		isHostile := random.Float64() < w.hostile
+		info := balance.PickInfo{Key: random.Uint64() | 1, Failing: ejected, Entries: s.entries, Rank: e, Retryable: random.Float64() < retryableShare}
+		isHostile := random.Float64() < s.hostileShare
 		if isHostile {
-			wish.Key, team = 12345, "hostile"
+			info.Key, team = 12345, "hostile"
 		}
-		in, ok := boards[e].Pick(all, wish, clock)
+		in, ok := balancers[e].Pick(all, info, now)
 		if !ok {
 			continue
 		}
-		collectors[e].RecordRequest("s", team, clock)
-		boards[e].Begin(in, clock)
-		boards[e].RecordResponse(in.Incarnation(), clock)
-		ill := w.isSick(in.Incarnation(), at) && random.Float64() < w.sickShare
-		failed := ill || isHostile || random.Float64() < w.natural
-		boards[e].End(in.Incarnation(), balance.Result{Failed: failed, Latency: 60 * time.Millisecond}, clock)
+		collectors[e].RecordRequest("s", team, now)
+		balancers[e].Begin(in, now)
+		balancers[e].RecordResponse(in.Incarnation(), now)
+		faultFailed := s.failsAt(in.Incarnation(), at) && random.Float64() < s.faultyShare
+		failed := faultFailed || isHostile || random.Float64() < s.baseFailureShare
+		balancers[e].End(in.Incarnation(), balance.Result{Failed: failed, Latency: 60 * time.Millisecond}, now)
 		if failed {
-			collectors[e].RecordFailure(in, team, w.instances, clock)
+			collectors[e].RecordFailure(in, team, s.instances, now)
 		}
-		if ill && !wish.Retryable {
+		if faultFailed && !info.Retryable {
 			out.lost++
-			if at > sickAfter+time.Second {
+			if at > faultyAfter+time.Second {
 				out.lostLate++
 			}
 		}
-		if at > length-time.Second && w.first(in.Incarnation()) {
-			got++
+		if at > length-time.Second && s.isFaulty(in.Incarnation()) {
+			recovered++
 		}
 	}
-	out.back = float64(got) / (w.rate * float64(w.sick) / float64(w.instances))
+	out.recoveredShare = float64(recovered) / (s.rate * float64(s.faulty) / float64(s.instances))
 	return out
 }
 
-// isSick reports whether an instance fails at a time; the first ones do.
-func (w world) isSick(of registry.Incarnation, at time.Duration) bool {
-	return w.first(of) && at >= sickAfter && at < sickAfter+sickFor
+// failsAt reports whether an instance fails requests at a time.
+func (s scenario) failsAt(target registry.Incarnation, at time.Duration) bool {
+	return s.isFaulty(target) && at >= faultyAfter && at < faultyAfter+faultyFor
 }
 
-// first reports whether an instance is among those that fail for a while.
-func (w world) first(of registry.Incarnation) bool {
-	n, err := strconv.Atoi(strings.TrimPrefix(of.ID, "i"))
-	return err == nil && n < w.sick
+// isFaulty reports whether an instance is one of those that fail for a while, which are the first
+// ones.
+func (s scenario) isFaulty(target registry.Incarnation) bool {
+	n, err := strconv.Atoi(strings.TrimPrefix(target.ID, "i"))
+	return err == nil && n < s.faulty
 }
 
-// The pattern: a sixth of a service's instances say that they are well and fail all, before fleets of 8,
-// 76 and 300 entries, of which each meets an instance every few seconds. All entries know within a
-// second: of what would be lost in six seconds a quarter is at most (half among failures by nature), and
-// then a request a second for each tries them until they are well. A route that fails by nature, a team that sends what always fails and a
-// service that fails as a whole get no instance left alone. SHEDROCK_BENCH=1 prints the table.
-func TestFailingInstancesAreLeftAlone(t *testing.T) {
-	small := world{entries: 8, instances: 14, rate: 308, sick: 2, sickShare: 1}
-	grown := world{entries: 76, instances: 112, rate: 1225, sick: 17, sickShare: 1}
-	large := world{entries: 300, instances: 150, rate: 1650, sick: 22, sickShare: 1}
-	var worlds []world
-	for name, w := range map[string]world{"small": small, "grown": grown, "large": large} {
-		with := func(what string, change func(*world)) {
+// A sixth of a service's instances report that they are healthy and fail all requests, with fleets
+// of 8, 76 and 300 entries, each of which sends a request to a given instance only every few
+// seconds. All entries must know the failing instances within a second: of the requests that would
+// be lost in six seconds at most a quarter is (half with a high base rate of failures), and from
+// then on each failing instance gets one probe a second until it has recovered. A route with a high
+// base rate of failures, a team whose requests always fail and a service that fails as a whole must
+// cause no ejection. SHEDROCK_BENCH=1 prints the table.
+func TestFailingInstancesAreEjected(t *testing.T) {
+	small := scenario{entries: 8, instances: 14, rate: 308, faulty: 2, faultyShare: 1}
+	grown := scenario{entries: 76, instances: 112, rate: 1225, faulty: 17, faultyShare: 1}
+	large := scenario{entries: 300, instances: 150, rate: 1650, faulty: 22, faultyShare: 1}
+	var scenarios []scenario
+	for name, w := range map[string]scenario{"small": small, "grown": grown, "large": large} {
+		with := func(what string, change func(*scenario)) {
 			c := w
 			c.name = name + ", " + what
 			change(&c)
-			worlds = append(worlds, c)
+			scenarios = append(scenarios, c)
 		}
-		with("each by itself", func(c *world) { c.alone = true })
-		with("all sick ones fail all", func(*world) {})
-		with("sick ones fail half", func(c *world) { c.sickShare = 0.6 })
-		with("a route fails by nature", func(c *world) { c.natural = 0.14 })
-		with("a route fails by nature, none is sick", func(c *world) { c.natural, c.sick = 0.14, 0 })
-		with("a hostile team", func(c *world) { c.hostile, c.sick = 0.1, 0 })
-		with("half of all fail", func(c *world) { c.natural, c.sick = 0.5, 0 })
+		with("without reports", func(c *scenario) { c.noReports = true })
+		with("faulty ones fail all requests", func(*scenario) {})
+		with("faulty ones fail 60 %", func(c *scenario) { c.faultyShare = 0.6 })
+		with("with base failures", func(c *scenario) { c.baseFailureShare = 0.14 })
+		with("with base failures, none is faulty", func(c *scenario) { c.baseFailureShare, c.faulty = 0.14, 0 })
+		with("a hostile team", func(c *scenario) { c.hostileShare, c.faulty = 0.1, 0 })
+		with("half of all requests fail", func(c *scenario) { c.baseFailureShare, c.faulty = 0.5, 0 })
 	}
-	for _, w := range worlds {
+	for _, w := range scenarios {
 		t.Run(w.name, func(t *testing.T) {
 			t.Parallel()
 			w.check(t)
@@ -182,24 +190,24 @@
 	}
 }
 
-func (w world) check(t *testing.T) {
-	r := w.play(1)
+func (s scenario) check(t *testing.T) {
+	r := s.simulate(1)
 	if os.Getenv("SHEDROCK_BENCH") != "" {
-		fmt.Printf("%-50s lost %5d, later than a second %5d, innocents %3d, back %.2f\n", w.name, r.lost, r.lostLate, r.innocents, r.back)
+		fmt.Printf("%-50s lost %5d, after a second %5d, false positives %3d, recovered %.2f\n", s.name, r.lost, r.lostLate, r.falsePositives, r.recoveredShare)
 	}
-	// Among failures by nature it takes more of them to tell who is ill.
-	part := 4.0
-	if w.natural > 0 {
-		part = 2
+	// With a high base rate of failures, more failures are needed to tell an outlier.
+	divisor := 4.0
+	if s.baseFailureShare > 0 {
+		divisor = 2
 	}
-	usual := (1 - repeatable) * w.rate * float64(w.sick) / float64(w.instances) * w.sickShare * sickFor.Seconds()
-	if !w.alone && float64(r.lost) > usual/part {
-		t.Errorf("%s: %d requests are lost, of %.0f that sick instances would fail", w.name, r.lost, usual)
+	expectedLost := (1 - retryableShare) * s.rate * float64(s.faulty) / float64(s.instances) * s.faultyShare * faultyFor.Seconds()
+	if !s.noReports && float64(r.lost) > expectedLost/divisor {
+		t.Errorf("%s: %d requests are lost, of %.0f that faulty instances would fail without ejection", s.name, r.lost, expectedLost)
 	}
-	if r.innocents > 0 {
-		t.Errorf("%s: instances that are well are left alone %d times", w.name, r.innocents)
+	if r.falsePositives > 0 {
+		t.Errorf("%s: healthy instances are ejected %d times", s.name, r.falsePositives)
 	}
-	if !w.alone && w.sick > 0 && r.back < 0.6 {
-		t.Errorf("%s: %.2f of their requests are back at the end", w.name, r.back)
+	if !s.noReports && s.faulty > 0 && r.recoveredShare < 0.6 {
+		t.Errorf("%s: recovered instances get %.2f of their usual requests", s.name, r.recoveredShare)
 	}
 }
--- a/internal/coordination/suspects/suspects.go
+++ b/internal/coordination/suspects/suspects.go
@@ -1,13 +1,15 @@
-// Package suspects finds instances that answer and fail, though they say that they are well, from what
-// all entries see of them together: one entry of many meets an instance every few seconds, and learns
-// by itself only when hundreds have failed.
+// Package suspects detects instances that accept requests and fail them while they report that they
+// are healthy (outlier detection), from the failures that all entries see. One of many entries
+// sends a request to a given instance only every few seconds; by itself it would notice the
+// failures only after hundreds of requests had failed.
 //
-// Entries tell control instances which requests failed at which instance. Each control instance judges
-// by itself, from what it was told lately, and tells entries whom to leave alone; no leader is needed.
-// A failure counts against the instance only if it fails far more than the others of its service: a
-// route that fails by nature does so everywhere. It takes two teams, so that one that sends what
-// always fails gets nobody left alone; and when many instances of a service look ill, something else
-// is, as a cut, and none is left alone.
+// Entries report to control instances which requests failed at which instance. Each control
+// instance evaluates the recent reports by itself and tells the entries which instances are
+// ejected; no leader is needed. An instance is ejected only if it fails far more than the others of
+// its service, because a route with a high base rate of failures fails on every instance. The
+// failures must come from two teams, so that one team whose requests always fail causes no
+// ejection. If many instances of a service look faulty, something else is the cause, such as a
+// network partition, and none is ejected.
 package suspects
 
 import (
@@ -23,99 +25,107 @@
 )
 
 const (
-	// window is the span in which failures are counted.
+	// window is the period over which failures are counted.
 	window = 2 * time.Second
-	// joined is within what time reports are kept as one, which bounds them to some for each instance.
-	joined = 100 * time.Millisecond
-	// useSpan is the span over which requests are averaged.
-	useSpan = time.Second
-	// leastFailures is how many it takes at least.
-	leastFailures = 4
-	// failedShare is the part of its requests, as many as others get, that an instance must fail since
-	// the first that it failed, which happened within late before it was told.
-	failedShare = 0.3
-	late        = 100 * time.Millisecond
-	// deviations is by how many standard deviations it must fail more than is usual in its service.
-	deviations = 6
-	// leastTeams is from how many teams the failed requests must be, where there are as many.
-	leastTeams = 2
-	// mostShare is the part of a service's instances that may be left alone at once, and one at least.
-	mostShare = 5
-	// quietFor is after how long an instance is used again that failed fewer than stillFailing of the
-	// requests that it got now and then meanwhile; one of them may fail by nature.
-	quietFor     = 2500 * time.Millisecond
-	stillFailing = 2
-	// teamBits is into how many classes teams fall.
+	// mergeInterval is the period after the first report of a batch in which further reports are
+	// added to it, which bounds the number of batches kept for each instance.
+	mergeInterval = 100 * time.Millisecond
+	// rateDecayTime is the period over which request rates are averaged.
+	rateDecayTime = time.Second
+	// minFailures is the least number of failures for an ejection.
+	minFailures = 4
+	// minFailedShare is the share of its requests that an instance must fail for an ejection. The
+	// number of its requests is estimated from the mean rate of its service, beginning reportDelay
+	// before the first failure was reported.
+	minFailedShare = 0.3
+	reportDelay    = 100 * time.Millisecond
+	// outlierDeviations is by how many standard deviations an instance's failures must exceed the
+	// baseline of its service.
+	outlierDeviations = 6
+	// minTeams is the least number of teams that the failures must come from, if the service has
+	// that many.
+	minTeams = 2
+	// maxEjectedDivisor bounds the instances of a service that are ejected at once to
+	// 1/maxEjectedDivisor of them, or to one; if there would be more, none is ejected.
+	maxEjectedDivisor = 5
+	// ejectionTime is how long an instance stays ejected. The ejection is renewed while at least
+	// minProbeFailures of the requests that probe the instance fail; a single one may fail for
+	// another reason.
+	ejectionTime     = 2500 * time.Millisecond
+	minProbeFailures = 2
+	// teamBits is the number of hash buckets for teams.
 	teamBits = 32
-	// mostReported bounds the instances in one report of an entry.
-	mostReported = 64
+	// maxReported bounds the number of instances in one report of an entry.
+	maxReported = 64
 )
 
-// Failures is what one entry saw of one instance since its last report.
+// Failures holds the failures that one entry saw at one instance since its last report.
 type Failures struct {
 	Target  registry.Incarnation
 	Service string
-	// Count is how many requests failed there, at most one for each team.
+	// Count is the number of failed requests, at most one for each bucket of teams.
 	Count int
-	// Teams has a bit for each class of teams whose requests failed.
+	// Teams has a bit for each bucket of teams whose requests failed.
 	Teams uint32
-	// Expected is how many requests a second an instance of the service gets from this entry, and
-	// Instances how many there are. AllTeams has a bit for each class of teams that the entry serves.
+	// Expected is the number of requests per second that an instance of the service gets from this
+	// entry, and Instances the number of instances. AllTeams has a bit for each bucket of teams
+	// whose requests the entry sends to the service.
 	Expected  float64
 	Instances int
 	AllTeams  uint32
 }
 
-// TeamBit returns the class of a team.
+// TeamBit returns the bit of the hash bucket of a team.
 func TeamBit(team string) uint32 { return 1 << (xxhash.Sum64String(team) % teamBits) }
 
-// Collector gathers what one entry sees. Make one with NewCollector. It is not safe for concurrent
-// use.
+// Collector records the requests and failures that one entry sees. Use NewCollector to make one. It
+// is not safe for concurrent use.
 type Collector struct {
-	services map[string]*use
+	services map[string]*serviceUsage
 	failures map[registry.Incarnation]*Failures
 }
 
-// use is how an entry uses a service: requests a second, as a mean that fades with useSpan.
-type use struct {
-	rate  float64
-	at    time.Time
-	teams uint32
+// serviceUsage is an entry's use of a service. Its rate is in requests per second, averaged with a
+// decay over rateDecayTime.
+type serviceUsage struct {
+	rate    float64
+	updated time.Time
+	teams   uint32
 }
 
-// NewCollector returns one that has seen nothing.
+// NewCollector returns an empty Collector.
 func NewCollector() *Collector {
-	return &Collector{services: map[string]*use{}, failures: map[registry.Incarnation]*Failures{}}
+	return &Collector{services: map[string]*serviceUsage{}, failures: map[registry.Incarnation]*Failures{}}
 }
 
-// RecordRequest notes that a request goes to an instance of a service.
+// RecordRequest records that a request is sent to an instance of a service.
 func (c *Collector) RecordRequest(service, team string, now time.Time) {
 	u := c.services[service]
 	if u == nil {
-		u = &use{at: now}
+		u = &serviceUsage{updated: now}
 		c.services[service] = u
 	}
-	u.fade(now)
-	u.rate += 1 / useSpan.Seconds()
+	u.decay(now)
+	u.rate += 1 / rateDecayTime.Seconds()
 	u.teams |= TeamBit(team)
 }
 
-func (u *use) fade(now time.Time) {
-	past := now.Sub(u.at).Seconds() / useSpan.Seconds()
-	u.rate /= 1 + past
-	u.at = now
+func (u *serviceUsage) decay(now time.Time) {
+	elapsed := now.Sub(u.updated).Seconds() / rateDecayTime.Seconds()
+	u.rate /= 1 + elapsed
+	u.updated = now
 }
 
-// RecordFailure notes that a request of a team failed at one of a service's instances.
+// RecordFailure records that a request of a team failed at one of a service's instances.
 func (c *Collector) RecordFailure(in registry.Instance, team string, instances int, now time.Time) {
-	of := in.Incarnation()
-	f := c.failures[of]
+	target := in.Incarnation()
+	f := c.failures[target]
 	if f == nil {
-		if len(c.failures) >= mostReported {
+		if len(c.failures) >= maxReported {
 			return
 		}
-		f = &Failures{Target: of, Service: in.Service}
-		c.failures[of] = f
+		f = &Failures{Target: target, Service: in.Service}
+		c.failures[target] = f
 	}
 	if bit := TeamBit(team); f.Teams&bit == 0 {
 		f.Teams |= bit
@@ -123,13 +133,13 @@
 	}
 	f.Instances = max(instances, 1)
 	if u := c.services[in.Service]; u != nil {
-		u.fade(now)
+		u.decay(now)
 		f.Expected = u.rate / float64(f.Instances)
 		f.AllTeams = u.teams
 	}
 }
 
-// Drain returns what was gathered since the last call.
+// Drain returns the failures recorded since the last call.
 func (c *Collector) Drain() []Failures {
 	var out []Failures
 	for _, f := range c.failures {
@@ -139,111 +149,112 @@
 	return out
 }
 
-// Detector is what one control instance was told. Make one with New. It is not safe for concurrent use.
+// Detector holds the failures reported to one control instance. Use New to make one. It is not safe
+// for concurrent use.
 type Detector struct {
 	instances map[registry.Incarnation]*suspect
 	services  map[string]*service
 }
 
-// New returns a book that was told nothing.
+// New returns a Detector without reports.
 func New() *Detector {
 	return &Detector{instances: map[registry.Incarnation]*suspect{}, services: map[string]*service{}}
 }
 
-// suspect is an instance at which requests failed lately.
+// suspect is an instance with recent failures.
 type suspect struct {
 	service string
-	// told holds what was told in the last window, the oldest first, joined by joined.
-	told []told
-	last time.Time
-	// left is until when it is left alone.
-	left time.Time
+	// batches holds the reports within the window, the oldest first, merged by mergeInterval.
+	batches    []batch
+	lastReport time.Time
+	// ejectedUntil is when the ejection ends.
+	ejectedUntil time.Time
 }
 
-// told is what entries told within some time.
-type told struct {
+// batch holds what entries reported within mergeInterval.
+type batch struct {
 	at    time.Time
 	count int
 	teams uint32
 }
 
-// service is what entries said of their use of a service.
+// service is what entries reported of their use of a service.
 type service struct {
 	instances int
-	// expected is how many requests a second an entry sends an instance, as a mean of what entries
-	// said.
-	expected float64
-	teams    uint32
-	last     time.Time
+	// expected is the number of requests per second that an entry sends to an instance, as a moving
+	// average of the reports.
+	expected   float64
+	teams      uint32
+	lastReport time.Time
 }
 
-// expectedWeight is the weight of what one entry says of its use.
+// expectedWeight is the weight of one report in the moving average.
 const expectedWeight = 0.1
 
-// Add joins a report of an entry.
-func (b *Detector) Add(reports []Failures, now time.Time) {
+// Add adds a report of an entry.
+func (d *Detector) Add(reports []Failures, now time.Time) {
 	for _, f := range reports {
-		s := b.services[f.Service]
+		s := d.services[f.Service]
 		if s == nil {
 			s = &service{expected: f.Expected}
-			b.services[f.Service] = s
+			d.services[f.Service] = s
 		}
 		s.expected += expectedWeight * (f.Expected - s.expected)
 		s.instances = f.Instances
 		s.teams |= f.AllTeams
-		s.last = now
-		k := b.instances[f.Target]
+		s.lastReport = now
+		k := d.instances[f.Target]
 		if k == nil {
 			k = &suspect{service: f.Service}
-			b.instances[f.Target] = k
+			d.instances[f.Target] = k
 		}
-		k.take(f, now)
+		k.add(f, now)
 	}
 }
 
-// take joins what one entry saw.
-func (k *suspect) take(f Failures, now time.Time) {
-	k.last = now
-	if n := len(k.told); n > 0 && now.Sub(k.told[n-1].at) < joined {
-		k.told[n-1].count += f.Count
-		k.told[n-1].teams |= f.Teams
+// add adds the failures that one entry reported.
+func (k *suspect) add(f Failures, now time.Time) {
+	k.lastReport = now
+	if n := len(k.batches); n > 0 && now.Sub(k.batches[n-1].at) < mergeInterval {
+		k.batches[n-1].count += f.Count
+		k.batches[n-1].teams |= f.Teams
 		return
 	}
-	k.told = append(k.told, told{now, f.Count, f.Teams})
+	k.batches = append(k.batches, batch{now, f.Count, f.Teams})
 }
 
-// Ejected returns the instances that are to be left alone, as entries so many, in the order of their ids.
-// It forgets what is old.
-func (b *Detector) Ejected(entries int, now time.Time) []registry.Incarnation {
+// Ejected returns the instances that are ejected, in the order of their ids and starts; entries is
+// the number of entries that send requests. It drops reports that are older than the window.
+func (d *Detector) Ejected(entries int, now time.Time) []registry.Incarnation {
 	failed := map[string][]int{}
-	for of, k := range b.instances {
-		k.forget(now)
-		if now.Sub(k.last) > quietFor && !now.Before(k.left) {
-			delete(b.instances, of)
+	for target, k := range d.instances {
+		k.expire(now)
+		if now.Sub(k.lastReport) > ejectionTime && !now.Before(k.ejectedUntil) {
+			delete(d.instances, target)
 			continue
 		}
 		failed[k.service] = append(failed[k.service], k.failed())
 	}
-	for name, s := range b.services {
-		if now.Sub(s.last) > quietFor && failed[name] == nil {
-			delete(b.services, name)
+	for name, s := range d.services {
+		if now.Sub(s.lastReport) > ejectionTime && failed[name] == nil {
+			delete(d.services, name)
 		}
 	}
-	left := map[string][]registry.Incarnation{}
-	for of, k := range b.instances {
-		s := b.services[k.service]
-		fails := now.Before(k.left) && k.failed() >= stillFailing
-		if fails || s.outlier(k, s.usual(failed[k.service]), entries, now) {
-			k.left = now.Add(quietFor)
+	ejected := map[string][]registry.Incarnation{}
+	for target, k := range d.instances {
+		s := d.services[k.service]
+		fails := now.Before(k.ejectedUntil) && k.failed() >= minProbeFailures
+		if fails || s.outlier(k, s.baseline(failed[k.service]), entries, now) {
+			k.ejectedUntil = now.Add(ejectionTime)
 		}
-		if now.Before(k.left) {
-			left[k.service] = append(left[k.service], of)
+		if now.Before(k.ejectedUntil) {
+			ejected[k.service] = append(ejected[k.service], target)
 		}
 	}
 	var out []registry.Incarnation
-	for name, of := range left {
-		if len(of) <= max(1, b.services[name].instances/mostShare) {
-			out = append(out, of...)
+	for name, targets := range ejected {
+		if len(targets) <= max(1, d.services[name].instances/maxEjectedDivisor) {
+			out = append(out, targets...)
 		}
 	}
 	slices.SortFunc(out, func(a, b registry.Incarnation) int {
@@ -252,39 +263,40 @@
 	return out
 }
 
-// usual returns how often an instance fails in the mean of those that fail least, three quarters of a
-// service; failed holds those that fail at all.
-func (s *service) usual(failed []int) float64 {
+// baseline returns the mean number of failures of the three quarters of a service's instances that
+// fail least; failed holds the counts of the instances that fail at all.
+func (s *service) baseline(failed []int) float64 {
 	slices.Sort(failed)
-	least := s.instances * 3 / 4
-	sound := max(s.instances-len(failed), 0)
+	considered := s.instances * 3 / 4
+	healthy := max(s.instances-len(failed), 0)
 	sum := 0
-	for _, n := range failed[:min(max(least-sound, 0), len(failed))] {
+	for _, n := range failed[:min(max(considered-healthy, 0), len(failed))] {
 		sum += n
 	}
-	return float64(sum) / float64(max(least, 1))
+	return float64(sum) / float64(max(considered, 1))
 }
 
-// outlier reports whether an instance fails much of what it gets, and far more than is usual.
-func (s *service) outlier(k *suspect, usual float64, entries int, now time.Time) bool {
+// outlier reports whether an instance fails a large share of its requests, and far more than the
+// baseline.
+func (s *service) outlier(k *suspect, baseline float64, entries int, now time.Time) bool {
 	n := float64(k.failed())
-	if n < leastFailures || s.instances < 2 {
+	if n < minFailures || s.instances < 2 {
 		return false
 	}
-	since := now.Sub(k.told[0].at) + late
-	much := failedShare * s.expected * float64(max(entries, 1)) * since.Seconds()
-	more := leastFailures + usual + deviations*math.Sqrt(usual)
-	teams := min(leastTeams, bits.OnesCount32(s.teams))
-	return n >= much && n >= more && bits.OnesCount32(k.teams()) >= teams
+	since := now.Sub(k.batches[0].at) + reportDelay
+	shareThreshold := minFailedShare * s.expected * float64(max(entries, 1)) * since.Seconds()
+	baselineThreshold := minFailures + baseline + outlierDeviations*math.Sqrt(baseline)
+	teams := min(minTeams, bits.OnesCount32(s.teams))
+	return n >= shareThreshold && n >= baselineThreshold && bits.OnesCount32(k.teams()) >= teams
 }
 
-func (k *suspect) forget(now time.Time) {
-	k.told = slices.DeleteFunc(k.told, func(r told) bool { return now.Sub(r.at) > window })
+func (k *suspect) expire(now time.Time) {
+	k.batches = slices.DeleteFunc(k.batches, func(r batch) bool { return now.Sub(r.at) > window })
 }
 
 func (k *suspect) failed() int {
 	n := 0
-	for _, r := range k.told {
+	for _, r := range k.batches {
 		n += r.count
 	}
 	return n
@@ -292,7 +304,7 @@
 
 func (k *suspect) teams() uint32 {
 	var out uint32
-	for _, r := range k.told {
+	for _, r := range k.batches {
 		out |= r.teams
 	}
 	return out
