--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -1,14 +1,14 @@
 // Package limits shares a team's declared rate of tokens among the entries of a region.
 //
-// One entry, the owner of the team's part of the directory, lends tokens from a bucket
-// that fills at the declared rate; the others borrow some more than they need now, and
-// spend them until the loan ends. Whoever cannot reach the owner falls back to a fair
-// part of the rate that is its own.
+// One entry, the owner of the team's part of the directory, lends tokens from a token bucket that
+// is refilled at the declared rate. The other entries borrow somewhat more than they need at once,
+// and spend the tokens until the loan expires. An entry that cannot reach the owner falls back to a
+// local bucket with its fair share of the rate.
 //
-// What all entries admit together exceeds the declared rate by one bucket, which holds a
-// second's tokens or the largest request; by one more whenever the owner changes; and, for
-// as long as entries that cannot reach the owner take their own part beside it, by that
-// part. The package is pure and not safe for concurrent use.
+// What all entries admit together exceeds the declared rate by one bucket, which holds a second's
+// tokens or the largest request; by one more bucket whenever the owner changes; and, while entries
+// that cannot reach the owner use their local shares, by those shares. The package does no I/O and
+// is not safe for concurrent use.
 package limits
 
 import (
@@ -19,27 +19,27 @@
 )
 
 const (
-	// loanTime is how long borrowed tokens may be spent.
-	loanTime = 2 * time.Second
-	// loanRequests is how many requests like the present one are borrowed for.
+	// loanTTL is how long borrowed tokens may be spent.
+	loanTTL = 2 * time.Second
+	// loanRequests is how many requests of the present size a loan is meant to cover.
 	loanRequests = 8
-	// noRateWait is when a caller comes back while there is nothing to lend: the rate is 0
-	// only until cut-off failure domains are heard again.
-	noRateWait = time.Minute
-	// loanShare is the part of what the bucket holds that one loan may take beyond the
-	// present request.
-	loanShare = 0.25
+	// zeroRateRetryAfter is the retry delay while there is nothing to lend: the rate is 0 only
+	// until failure domains that were cut off can be reached again.
+	zeroRateRetryAfter = time.Minute
+	// maxLoanShare is the share of the bucket's tokens that one loan may take beyond the present
+	// request.
+	maxLoanShare = 0.25
 )
 
-// bucket fills at a rate, in tokens a second, up to the largest request or a second's
-// tokens.
+// bucket is a token bucket with a rate in tokens per second. It holds a second's tokens or the
+// largest request, whichever is more.
 type bucket struct{ limiter *rate.Limiter }
 
 func (b *bucket) set(perSecond, cost float64, now time.Time) {
 	burst := max(ceil(perSecond), ceil(cost))
 	if b.limiter == nil {
 		b.limiter = rate.NewLimiter(rate.Limit(perSecond), burst)
-		// The limiter counts from its first use.
+		// The limiter measures time from its first use.
 		b.limiter.AllowN(now, 0)
 		return
 	}
@@ -49,10 +49,10 @@
 	b.limiter.SetLimitAt(now, rate.Limit(perSecond))
 }
 
-// wait is how long it takes until the bucket holds enough for a request.
+// wait returns how long it takes until the bucket holds enough tokens for a request.
 func (b *bucket) wait(cost float64, now time.Time) time.Duration {
 	if b.limiter.Limit() <= 0 {
-		return noRateWait
+		return zeroRateRetryAfter
 	}
 	missing := float64(ceil(cost)) - b.limiter.TokensAt(now)
 	return time.Duration(missing / float64(b.limiter.Limit()) * float64(time.Second))
@@ -60,21 +60,22 @@
 
 func ceil(tokens float64) int { return int(math.Ceil(tokens)) }
 
-// Loan is the answer to a request for tokens. It is a plain value.
+// Loan is the answer to a request for tokens.
 type Loan struct {
-	// Tokens may be spent; 0 means that the request must not run.
+	// Tokens is the number of tokens that may be spent; 0 means that the request must not run.
 	Tokens float64
-	// RetryAfter is when there will be enough for the request, if nobody else asks.
+	// RetryAfter is when there will be enough tokens for the request, if no other request takes
+	// them.
 	RetryAfter time.Duration
 }
 
-// Lender is what a team's owner keeps. Make one with NewLender.
+// Lender holds the buckets of the teams whose rates an entry owns. Use NewLender to make one.
 type Lender struct{ buckets map[string]*bucket }
 
-// NewLender returns a lender whose buckets are full.
+// NewLender returns a Lender whose buckets are full.
 func NewLender() *Lender { return &Lender{buckets: map[string]*bucket{}} }
 
-// Lend lends at least cost tokens of a team's rate, in tokens a second, or none.
+// Lend lends at least cost tokens of a team's rate, which is in tokens per second, or none.
 func (l *Lender) Lend(team string, perSecond, cost float64, now time.Time) Loan {
 	b, ok := l.buckets[team]
 	if !ok {
@@ -82,26 +83,26 @@
 		l.buckets[team] = b
 	}
 	b.set(perSecond, cost, now)
-	more := min(cost*(loanRequests-1), loanShare*(b.limiter.TokensAt(now)-cost))
-	lent := ceil(cost + max(more, 0))
+	extra := min(cost*(loanRequests-1), maxLoanShare*(b.limiter.TokensAt(now)-cost))
+	lent := ceil(cost + max(extra, 0))
 	if !b.limiter.AllowN(now, lent) {
 		return Loan{RetryAfter: b.wait(cost, now)}
 	}
 	return Loan{Tokens: float64(lent)}
 }
 
-// credit is what one entry has of a team's tokens.
+// credit holds the tokens of a team that one entry may spend.
 type credit struct {
-	// tokens were borrowed and may be spent until until.
-	tokens float64
-	until  time.Time
-	own    bucket
+	// tokens were borrowed and may be spent until expires.
+	tokens  float64
+	expires time.Time
+	local   bucket
 }
 
-// Borrower is what an entry keeps. Make one with NewBorrower.
+// Borrower holds the tokens that an entry may spend. Use NewBorrower to make one.
 type Borrower struct{ credits map[string]*credit }
 
-// NewBorrower returns a borrower that has borrowed nothing.
+// NewBorrower returns a Borrower without loans.
 func NewBorrower() *Borrower { return &Borrower{credits: map[string]*credit{}} }
 
 func (b *Borrower) credit(team string) *credit {
@@ -113,10 +114,10 @@
 	return c
 }
 
-// Take spends borrowed tokens on a request; it reports false when there are not enough.
+// Take spends borrowed tokens on a request; it returns false when there are not enough.
 func (b *Borrower) Take(team string, cost float64, now time.Time) bool {
 	c := b.credit(team)
-	if now.After(c.until) {
+	if now.After(c.expires) {
 		c.tokens = 0
 	}
 	if c.tokens < cost {
@@ -126,25 +127,25 @@
 	return true
 }
 
-// AddLoan adds a loan.
+// AddLoan adds a loan to a team's tokens.
 func (b *Borrower) AddLoan(team string, l Loan, now time.Time) {
 	if l.Tokens <= 0 {
 		return
 	}
 	c := b.credit(team)
-	if now.After(c.until) {
+	if now.After(c.expires) {
 		c.tokens = 0
 	}
 	c.tokens += l.Tokens
-	c.until = now.Add(loanTime)
+	c.expires = now.Add(loanTTL)
 }
 
-// TakeLocal spends this entry's own part of the rate, while the owner is out of reach.
+// TakeLocal spends tokens of this entry's share of the rate, while the owner cannot be reached.
 func (b *Borrower) TakeLocal(team string, perSecond, cost float64, now time.Time) Loan {
 	c := b.credit(team)
-	c.own.set(perSecond, cost, now)
-	if !c.own.limiter.AllowN(now, ceil(cost)) {
-		return Loan{RetryAfter: c.own.wait(cost, now)}
+	c.local.set(perSecond, cost, now)
+	if !c.local.limiter.AllowN(now, ceil(cost)) {
+		return Loan{RetryAfter: c.local.wait(cost, now)}
 	}
 	return Loan{Tokens: cost}
 }
--- a/internal/coordination/limits/limits_test.go
+++ b/internal/coordination/limits/limits_test.go
@@ -16,10 +16,10 @@
 	seconds   = 120
 )
 
-// demand has every entry ask for more than the team may have, and returns what was
-// admitted a second and how many questions the owner had. reach says which entries reach
+// simulate has every entry ask for more than the team's rate. It returns the number of tokens that
+// were admitted and of requests for loans that the owner got. reachesOwner says which entries reach
 // the owner.
-func demand(reach func(entry int) bool) (admitted float64, asked int) {
+func simulate(reachesOwner func(entry int) bool) (admitted float64, loanRequests int) {
 	random := rand.New(rand.NewPCG(1, 1))
 	lender := limits.NewLender()
 	var borrowers []*limits.Borrower
@@ -35,46 +35,45 @@
 		switch {
 		case b.Take("team", cost, now):
 			admitted += cost
-		case !reach(i):
+		case !reachesOwner(i):
 			admitted += b.TakeLocal("team", perSecond/entries, cost, now).Tokens
 		default:
-			asked++
+			loanRequests++
 			b.AddLoan("team", lender.Lend("team", perSecond, cost, now), now)
 			if b.Take("team", cost, now) {
 				admitted += cost
 			}
 		}
 	}
-	return admitted, asked
+	return admitted, loanRequests
 }
 
-// TestTogetherNoMoreThanDeclared holds all entries together to the declared rate and the
-// stated margin.
-func TestTogetherNoMoreThanDeclared(t *testing.T) {
+// All entries together must admit no more than the declared rate and the documented margin.
+func TestAdmittedTokensStayWithinRate(t *testing.T) {
 	const bucket = perSecond
 	cases := []struct {
-		name   string
-		reach  func(int) bool
-		margin float64
-		least  float64
+		name         string
+		reachesOwner func(int) bool
+		margin       float64
+		minShare     float64
 	}{
-		{"all reach the owner", func(int) bool { return true }, bucket, 0.85},
-		{"none does", func(int) bool { return false }, entries * largest, 0.85},
-		{"half do not", func(i int) bool { return i%2 == 0 }, bucket + entries*largest + perSecond*seconds/2, 0.85},
+		{"all entries reach the owner", func(int) bool { return true }, bucket, 0.85},
+		{"no entry reaches the owner", func(int) bool { return false }, entries * largest, 0.85},
+		{"half of the entries reach the owner", func(i int) bool { return i%2 == 0 }, bucket + entries*largest + perSecond*seconds/2, 0.85},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			admitted, asked := demand(c.reach)
-			t.Logf("%.3f of the declared rate; the owner was asked for one in %.1f requests", admitted/(perSecond*seconds), float64(seconds*100)/max(float64(asked), 1))
-			if admitted > perSecond*seconds+c.margin || admitted < c.least*perSecond*seconds {
-				t.Fatalf("%.0f tokens were admitted of %.0f declared", admitted, perSecond*seconds)
+			admitted, loanRequests := simulate(c.reachesOwner)
+			t.Logf("admitted %.3f of the declared rate; one loan for %.1f requests", admitted/(perSecond*seconds), float64(seconds*100)/max(float64(loanRequests), 1))
+			if admitted > perSecond*seconds+c.margin || admitted < c.minShare*perSecond*seconds {
+				t.Fatalf("%.0f tokens admitted, %.0f declared", admitted, perSecond*seconds)
 			}
 		})
 	}
 }
 
-// TestRetryAfterIsHonest comes back when it was told to.
-func TestRetryAfterIsHonest(t *testing.T) {
+// After RetryAfter has passed there must be enough tokens for the request.
+func TestRetryAfterSuffices(t *testing.T) {
 	l := limits.NewLender()
 	now := time.Unix(1000, 0)
 	for n := range 50 {
@@ -89,9 +88,9 @@
 	}
 }
 
-// TestNoRateIsNotForEver has nothing to lend for a while, as when every domain that has
-// upstreams is cut off: a caller is told to come back soon, and then served.
-func TestNoRateIsNotForEver(t *testing.T) {
+// While the rate is 0, as when every failure domain with upstreams is cut off, a caller must be
+// told to retry soon, and it must be served once the rate is back.
+func TestLendsAgainAfterZeroRate(t *testing.T) {
 	l := limits.NewLender()
 	now := time.Unix(1000, 0)
 	l.Lend("team", 0, 40, now)
@@ -106,8 +105,9 @@
 	}
 }
 
-// TestLoansEnd lends what an entry does not spend to others once it has run out.
-func TestLoansEnd(t *testing.T) {
+// Borrowed tokens that an entry has not spent must expire, and one team's tokens must not serve
+// another.
+func TestLoansExpire(t *testing.T) {
 	b := limits.NewBorrower()
 	now := time.Unix(1000, 0)
 	b.AddLoan("team", limits.Loan{Tokens: 100}, now)
