--- a/internal/coordination/suspects/replay_test.go
+++ b/internal/coordination/suspects/replay_test.go
@@ -102,9 +102,9 @@
 			}
 			next := map[registry.Incarnation]bool{}
 			pending = append(pending, detection{nextDetection + propagationDelay, next})
-			for _, of := range detector.Ejected(s.entries, start.Add(nextDetection)) {
-				next[of] = true
-				if !s.isFaulty(of) {
+			for _, target := range detector.Ejected(s.entries, start.Add(nextDetection)) {
+				next[target] = true
+				if !s.isFaulty(target) {
 					out.falsePositives++
 				}
 			}
