--- a/internal/coordination/balance/balance.go
+++ b/internal/coordination/balance/balance.go
@@ -1,10 +1,10 @@
-// Package balance chooses the instance for a request from what an entry saw of its own
-// requests, and from the queues and the memory of engines where they are known; without those,
-// and in a cut, it works by itself.
+// Package balance chooses the instance for a request from what an entry has observed of its own
+// requests and, where they are known, from the queues and the memory use of engines. Without those,
+// and during a network partition, it relies on the local observations alone.
 //
-// Prompts go by rendezvous hashing of their shared part, past engines without room for them and
-// instances with more than their bound; other requests go where the expected wait is shortest.
-// A failure domain of which nothing is heard any more is avoided as a whole.
+// Prompts are placed by rendezvous hashing of their shared prefix with bounded loads, skipping
+// engines without room for them; other requests go to the instance with the shortest expected wait.
+// A failure domain from which there are no responses any more is avoided as a whole.
 package balance
 
 import (
@@ -16,163 +16,170 @@
 )
 
 const (
-	// smooth is the weight of a new outcome in the averages: about the last ten count.
-	smooth = 0.1
-	// firstPause is how long an instance that failed is avoided; it doubles up to mostPause.
-	firstPause = 250 * time.Millisecond
-	mostPause  = 2 * time.Second
-	// silentFor and silentTimes say when an instance that has requests of ours counts as
-	// silent: after so long without a word, and so many times its usual latency. The
-	// longest quiet of a sound engine on a calm day was about 0.7 s.
-	silentFor   = time.Second
-	silentTimes = 5
-	// firstLatency stands for instances that were not used yet.
-	firstLatency = 0.02
+	// averageWeight is the weight of a new sample in the moving averages, so that about the last
+	// ten samples count.
+	averageWeight = 0.1
+	// minBackoff is how long an unreachable instance is avoided; the time doubles with each further
+	// failure, up to maxBackoff.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// An instance with requests in flight is unresponsive if it has sent nothing for
+	// unresponsiveAfter and for unresponsiveLatencies times its mean latency. A healthy engine at
+	// normal load may send nothing for about 0.7 s.
+	unresponsiveAfter     = time.Second
+	unresponsiveLatencies = 5
+	// initialLatency is the assumed latency, in seconds, of instances that have not been used yet.
+	initialLatency = 0.02
 )
 
-// load is what is known of one instance.
+// load is the state that this entry keeps of one instance.
 type load struct {
-	// domain is the instance's failure domain.
+	// domain is the name of the instance's failure domain.
 	domain   string
 	inFlight int
-	// latency is a moving average in seconds, and failed the share of failures.
-	latency, failed float64
-	failures        int
-	avoidUntil      time.Time
-	// seen is when it was last used, and listed when it was last prepared for choices.
-	seen, listed time.Time
-	// heard is when the instance last said anything, or when it was given a request while
-	// it had none.
-	heard time.Time
-	// sent holds the last requests that took memory, the oldest first.
-	sent []sent
-	// probeNext is when the instance may be tried next while it fails.
-	probeNext time.Time
+	// latency is a moving average in seconds, and failureRate a moving average of the share of
+	// requests that failed. consecutiveFailures counts the times in a row that the instance was
+	// unreachable.
+	latency, failureRate float64
+	consecutiveFailures  int
+	avoidUntil           time.Time
+	// lastUsed is when it was last used, and lastListed when it last became part of a candidate
+	// set.
+	lastUsed, lastListed time.Time
+	// lastResponse is when the instance last sent a response, or when a request was sent to it
+	// while none was in flight.
+	lastResponse time.Time
+	// reservations holds the latest requests that take memory, the oldest first.
+	reservations []reservation
+	// nextProbe is when the next probe may be sent to the instance while it is failing.
+	nextProbe time.Time
 	condition
 }
 
-// silent reports whether an instance keeps requests without a word: it may hang while its
-// connections and its health look well.
-func (l *load) silent(now time.Time) bool {
-	return l.wordless(now, silentFor, silentTimes)
+// unresponsive reports whether an instance has requests in flight and sends nothing: it may hang
+// although its connections and its health checks look well.
+func (l *load) unresponsive(now time.Time) bool {
+	return l.noResponseFor(now, unresponsiveAfter, unresponsiveLatencies)
 }
 
-// wordless reports whether an instance keeps requests and said nothing for longer than least,
-// and than so many times its usual latency.
-func (l *load) wordless(now time.Time, least time.Duration, times int) bool {
+// noResponseFor reports whether an instance has requests in flight and has sent nothing for longer
+// than minDuration and than the given multiple of its mean latency.
+func (l *load) noResponseFor(now time.Time, minDuration time.Duration, latencies int) bool {
 	usual := time.Duration(l.latency * float64(time.Second))
-	return l.inFlight > 0 && now.Sub(l.heard) > max(least, time.Duration(times)*usual)
+	return l.inFlight > 0 && now.Sub(l.lastResponse) > max(minDuration, time.Duration(latencies)*usual)
 }
 
-// Balancer holds the loads. Make one with New. It is not safe for concurrent use.
+// Balancer holds the state of all known instances. Use New to make one. It is not safe for
+// concurrent use.
 type Balancer struct {
 	random  *rand.Rand
 	loads   map[registry.Incarnation]*load
 	domains map[string]*domain
-	// demand holds the tokens of long prompts as they were asked for, each fading with
-	// demandOver; demandAt is when it was brought up to date.
+	// demand is the sum of the tokens of long prompts that were asked for, decaying with
+	// demandDecayTime; demandAt is when it was last updated.
 	demand   float64
 	demandAt time.Time
-	// rosters are the lists of instances that were chosen from lately, the oldest first.
-	rosters []*roster
-	scratch scratch
+	// candidateSets caches the lists of instances that were used lately, the oldest first.
+	candidateSets []*candidateSet
+	scratch       scratch
 }
 
-// New returns an empty board.
+// New returns an empty Balancer.
 func New(seed uint64) *Balancer {
 	return &Balancer{random: rand.New(rand.NewPCG(seed, 0xba1a)), loads: map[registry.Incarnation]*load{}, domains: map[string]*domain{}}
 }
 
-// load returns what is known of an incarnation. Nothing of it passes to the next one of its id.
-func (b *Balancer) load(of registry.Incarnation) *load {
-	l, ok := b.loads[of]
+// load returns the state of an incarnation. No state passes to the next incarnation with the same
+// id.
+func (b *Balancer) load(target registry.Incarnation) *load {
+	l, ok := b.loads[target]
 	if !ok {
-		l = &load{latency: firstLatency}
-		b.loads[of] = l
+		l = &load{latency: initialLatency}
+		b.loads[target] = l
 	}
 	return l
 }
 
-// Begin notes that a request goes to an instance.
+// Begin records that a request is sent to an instance.
 func (b *Balancer) Begin(in registry.Instance, now time.Time) {
 	l := b.load(in.Incarnation())
 	l.domain = in.FailureDomain
 	d := b.domain(l.domain)
-	if now.Sub(d.heard) >= darkAfter {
-		d.probed = now
+	if now.Sub(d.lastResponse) >= partitionedAfter {
+		d.lastProbe = now
 	}
 	if l.inFlight == 0 {
-		l.heard = now
+		l.lastResponse = now
 	}
 	l.inFlight++
-	l.seen = now
+	l.lastUsed = now
 }
 
-// RecordResponse notes that an instance answered a request, though the answer may go on.
-func (b *Balancer) RecordResponse(from registry.Incarnation, now time.Time) {
-	l := b.load(from)
-	l.heard = now
-	b.domain(l.domain).hear(now)
+// RecordResponse records that an instance began to answer a request; the answer may go on.
+func (b *Balancer) RecordResponse(target registry.Incarnation, now time.Time) {
+	l := b.load(target)
+	l.lastResponse = now
+	b.domain(l.domain).recordResponse(now)
 }
 
-// Result says how a request at an instance ended.
+// Result is how a request at an instance ended.
 type Result struct {
-	// Failed counts against the instance; Unreachable also has it avoided for a while, and
-	// TimedOut says that nothing was heard from its address until the time was over.
+	// Failed counts against the instance. Unreachable also has it avoided for a while. TimedOut
+	// says that its address did not respond before the timeout.
 	Failed, Unreachable, TimedOut bool
-	// Canceled says that this side ended it, as when the caller leaves, so that nothing follows
-	// for the instance.
+	// Canceled says that the request was ended by this side, as when the caller disconnects, and
+	// says nothing about the instance.
 	Canceled bool
-	// Latency is the time to the first byte of an answer, or 0 when there was none.
+	// Latency is the time to the first byte of the answer, or 0 when there was none.
 	Latency time.Duration
 }
 
-// End notes the end of a request.
-func (b *Balancer) End(at registry.Incarnation, r Result, now time.Time) {
-	l := b.load(at)
+// End records the end of a request.
+func (b *Balancer) End(target registry.Incarnation, r Result, now time.Time) {
+	l := b.load(target)
 	l.inFlight--
-	l.seen = now
+	l.lastUsed = now
 	if r.Canceled {
 		return
 	}
-	share := 0.0
+	sample := 0.0
 	if r.Failed {
-		share = 1
+		sample = 1
 	}
-	l.failed += smooth * (share - l.failed)
+	l.failureRate += averageWeight * (sample - l.failureRate)
 	if r.Latency > 0 {
-		l.latency += smooth * (r.Latency.Seconds() - l.latency)
+		l.latency += averageWeight * (r.Latency.Seconds() - l.latency)
 	}
 	if r.TimedOut {
-		b.domain(l.domain).unreached[at] = true
+		b.domain(l.domain).timedOut[target] = true
 	}
 	if !r.Unreachable {
-		l.failures = 0
+		l.consecutiveFailures = 0
 		return
 	}
-	pause := firstPause << min(l.failures, 3)
-	l.failures++
-	l.avoidUntil = now.Add(min(pause, mostPause))
+	backoff := minBackoff << min(l.consecutiveFailures, 3)
+	l.consecutiveFailures++
+	l.avoidUntil = now.Add(min(backoff, maxBackoff))
 }
 
-// Prune drops what is known of instances that were not used lately, and of the failure domains
-// that have no other.
+// Prune drops the state of instances that have not been used since a time, and of failure domains
+// without other instances. Instances that were listed since then keep their condition.
 func (b *Balancer) Prune(before time.Time) {
-	known := len(b.loads) + len(b.domains)
+	size := len(b.loads) + len(b.domains)
 	used := map[string]bool{}
-	for of, l := range b.loads {
-		unused := l.inFlight == 0 && l.seen.Before(before)
-		if unused && l.listed.Before(before) {
-			delete(b.loads, of)
+	for target, l := range b.loads {
+		unused := l.inFlight == 0 && l.lastUsed.Before(before)
+		if unused && l.lastListed.Before(before) {
+			delete(b.loads, target)
 			continue
 		}
 		if unused {
-			*l = load{domain: l.domain, latency: firstLatency, listed: l.listed, condition: l.condition}
+			*l = load{domain: l.domain, latency: initialLatency, lastListed: l.lastListed, condition: l.condition}
 		}
 		used[l.domain] = true
 	}
 	maps.DeleteFunc(b.domains, func(name string, _ *domain) bool { return !used[name] })
-	if len(b.loads)+len(b.domains) < known {
-		b.rosters = nil
+	if len(b.loads)+len(b.domains) < size {
+		b.candidateSets = nil
 	}
 }
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -21,20 +21,20 @@
 	return out
 }
 
-// life is the incarnation of an instance that never started again.
-func life(id string) registry.Incarnation { return registry.Incarnation{ID: id} }
+// incarnation returns the incarnation of an instance that has not restarted.
+func incarnation(id string) registry.Incarnation { return registry.Incarnation{ID: id} }
 
 func pick(t *testing.T, b *balance.Balancer, in []registry.Instance, w balance.PickInfo) string {
 	t.Helper()
 	got, ok := b.Pick(in, w, now)
 	if !ok {
-		t.Fatal("nothing was chosen")
+		t.Fatal("no instance was chosen")
 	}
 	return got.ID
 }
 
-// Entries that know nothing of each other choose the same place, and the loss of one
-// instance moves only its own keys.
+// Balancers that share no state must choose the same instance for a key, and the loss of an
+// instance must move only its own keys.
 func TestKeysStayInPlace(t *testing.T) {
 	all := instances(10)
 	moved := 0
@@ -69,27 +69,27 @@
 	}
 }
 
-func TestUnreachedIsAvoidedForAWhile(t *testing.T) {
+func TestUnreachableInstanceIsAvoided(t *testing.T) {
 	b := balance.New(1)
 	two := instances(2)
 	b.Begin(registry.Instance{ID: "i0"}, now)
-	b.End(life("i0"), balance.Result{Failed: true, Unreachable: true}, now)
+	b.End(incarnation("i0"), balance.Result{Failed: true, Unreachable: true}, now)
 	for range 20 {
 		if id := pick(t, b, two, balance.PickInfo{}); id != "i1" {
 			t.Fatalf("%s was chosen", id)
 		}
 	}
-	if id := pick(t, b, two, balance.PickInfo{Tried: []registry.Incarnation{life("i1")}}); id != "i0" {
-		t.Error("the only one left was not chosen")
+	if id := pick(t, b, two, balance.PickInfo{Tried: []registry.Incarnation{incarnation("i1")}}); id != "i0" {
+		t.Error("the only instance left was not chosen")
 	}
-	if _, ok := b.Pick(two, balance.PickInfo{Tried: []registry.Incarnation{life("i0"), life("i1")}}, now); ok {
-		t.Error("one that was tried was chosen again")
+	if _, ok := b.Pick(two, balance.PickInfo{Tried: []registry.Incarnation{incarnation("i0"), incarnation("i1")}}, now); ok {
+		t.Error("an instance that was tried was chosen again")
 	}
 }
 
-// A slow instance, and one that fails a part of its requests while it is quick, get fewer.
-func TestSickInstancesGetFewer(t *testing.T) {
-	for name, sick := range map[string]balance.Result{
+// An instance that is slow, or that fails some of its requests quickly, must get fewer requests.
+func TestSlowAndFailingInstancesGetFewer(t *testing.T) {
+	for name, faulty := range map[string]balance.Result{
 		"slow":    {Latency: time.Second},
 		"failing": {Failed: true, Latency: 10 * time.Millisecond},
 	} {
@@ -102,9 +102,9 @@
 				b.Begin(registry.Instance{ID: id}, now)
 				result := balance.Result{Latency: 20 * time.Millisecond}
 				if id == "i0" {
-					result = sick
+					result = faulty
 				}
-				b.End(life(id), result, now)
+				b.End(incarnation(id), result, now)
 			}
 			if got["i0"] > 60 {
 				t.Errorf("%v", got)
@@ -113,8 +113,9 @@
 	}
 }
 
-// An instance that hangs takes no more requests until it says a word, whatever its health.
-func TestSilentInstanceGetsNoMore(t *testing.T) {
+// An instance that hangs must get no more requests until it sends a response, whatever its health
+// checks say.
+func TestUnresponsiveInstanceIsAvoided(t *testing.T) {
 	b := balance.New(1)
 	two := instances(2)
 	key := uint64(1)
@@ -123,34 +124,34 @@
 	later := now.Add(2 * time.Second)
 	got, _ := b.Pick(two, balance.PickInfo{Key: key}, later)
 	if got.ID == first {
-		t.Error("a silent instance was chosen")
+		t.Error("an unresponsive instance was chosen")
 	}
-	b.RecordResponse(life(first), later)
+	b.RecordResponse(incarnation(first), later)
 	got, _ = b.Pick(two, balance.PickInfo{Key: key}, later)
 	if diff := cmp.Diff(first, got.ID); diff != "" {
 		t.Error(diff)
 	}
-	// One without requests has no reason to speak.
-	b.End(life(first), balance.Result{Latency: time.Millisecond}, later)
+	// An instance without requests in flight is not expected to respond.
+	b.End(incarnation(first), balance.Result{Latency: time.Millisecond}, later)
 	got, _ = b.Pick(two, balance.PickInfo{Key: key}, later.Add(time.Hour))
 	if diff := cmp.Diff(first, got.ID); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Callers that leave say nothing of an instance: one that fails is not made sound by them.
-func TestCallersThatLeaveSayNothing(t *testing.T) {
+// Requests that callers cancel must not count as successes of a failing instance.
+func TestCanceledRequestsDoNotCount(t *testing.T) {
 	b := balance.New(1)
 	two := instances(2)
 	for range 20 {
 		b.Begin(two[0], now)
-		b.End(life("i0"), balance.Result{Failed: true, Latency: 5 * time.Millisecond}, now)
+		b.End(incarnation("i0"), balance.Result{Failed: true, Latency: 5 * time.Millisecond}, now)
 		b.Begin(two[1], now)
-		b.End(life("i1"), balance.Result{Latency: 20 * time.Millisecond}, now)
+		b.End(incarnation("i1"), balance.Result{Latency: 20 * time.Millisecond}, now)
 	}
 	for range 100 {
 		b.Begin(two[0], now)
-		b.End(life("i0"), balance.Result{Canceled: true}, now)
+		b.End(incarnation("i0"), balance.Result{Canceled: true}, now)
 	}
 	for range 10 {
 		if id := pick(t, b, two, balance.PickInfo{}); id != "i1" {
@@ -159,19 +160,19 @@
 	}
 }
 
-func TestBusyOnlyWhenNothingElseIsLeft(t *testing.T) {
+func TestBusyInstanceIsLastResort(t *testing.T) {
 	b := balance.New(1)
 	two := instances(2)
-	w := balance.PickInfo{Busy: map[registry.Incarnation]bool{life("i0"): true}}
+	w := balance.PickInfo{Busy: map[registry.Incarnation]bool{incarnation("i0"): true}}
 	if id := pick(t, b, two, w); id != "i1" {
-		t.Error("a busy one was chosen")
+		t.Error("a busy instance was chosen")
 	}
 	if id := pick(t, b, two[:1], w); id != "i0" {
-		t.Error("the only one was not chosen")
+		t.Error("the only instance was not chosen")
 	}
 }
 
-func TestNewWeightsAreNotOverrun(t *testing.T) {
+func TestNewWeightsAreNotOverloaded(t *testing.T) {
 	b := balance.New(1)
 	ten := instances(10)
 	ten[3].Weights = map[string]uint64{"m": 2}
@@ -182,7 +183,7 @@
 		}
 	}
 	if got < 150 || got > 400 {
-		t.Errorf("one of ten got %d of 1000", got)
+		t.Errorf("the only instance with new weights got %d of 1000 requests", got)
 	}
 	for i := range 7 {
 		ten[i].Weights = map[string]uint64{"m": 2}
--- a/internal/coordination/balance/burst_test.go
+++ b/internal/coordination/balance/burst_test.go
@@ -11,42 +11,44 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// The engines of the replay are like those of a deployment that was measured: an eighth of its
-// requests by number, and most of its memory, are long prompts.
+// The engines of the simulation are like those of a real deployment: long prompts are an eighth of
+// its requests by number, and take most of its memory.
 const (
 	step         = 5 * time.Millisecond
 	engineMemory = 70_000
 	promptTokens = 12_000
-	// ownTokens are read at the engine, the others come from a store.
-	ownTokens  = 3_000
-	readRate   = 48_000
-	answerTime = 2 * time.Second
-	inTime     = 1200 * time.Millisecond
-	comeBack   = 2 * time.Second
-	// askPause and tellDelay are how often an engine is asked, and how late entries hear of it.
-	askPause  = 200 * time.Millisecond
-	tellDelay = 200 * time.Millisecond
+	// uncachedTokens of a prompt are computed by the engine; the others come from a store.
+	uncachedTokens = 3_000
+	prefillRate    = 48_000
+	decodeTime     = 2 * time.Second
+	latencyTarget  = 1200 * time.Millisecond
+	retryAfter     = 2 * time.Second
+	// pollInterval is how often an engine is polled for its load, and reportDelay how long its
+	// report takes to reach the entries.
+	pollInterval = 200 * time.Millisecond
+	reportDelay  = 200 * time.Millisecond
 )
 
-// promptRun is a long prompt on its way.
+// promptRun is a long prompt in progress.
 type promptRun struct {
 	key           uint64
 	arrived, ends time.Time
 	refused       bool
 }
 
-// replayEngine reads prompts one after the other and keeps their memory until their answers end.
+// replayEngine computes prompts one after the other and keeps their memory until their answers end.
 type replayEngine struct {
 	waiting, running []*promptRun
-	readUntil        time.Time
+	prefillUntil     time.Time
 }
 
 func (e *replayEngine) load() balance.EngineLoad {
 	return balance.EngineLoad{Waiting: len(e.waiting), Used: len(e.running) * promptTokens}
 }
 
-// work ends runs and begins those that have room; it returns how many of these are in time.
-func (e *replayEngine) work(at time.Time) (began, timely int) {
+// advance ends runs that are complete and starts waiting ones that have room. It returns how many
+// it started, and how many of these within latencyTarget.
+func (e *replayEngine) advance(at time.Time) (started, inTime int) {
 	var running []*promptRun
 	for _, r := range e.running {
 		if at.Before(r.ends) {
@@ -57,126 +59,127 @@
 	for len(e.waiting) > 0 && (len(e.running)+1)*promptTokens <= engineMemory {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		if e.readUntil.Before(at) {
-			e.readUntil = at
+		if e.prefillUntil.Before(at) {
+			e.prefillUntil = at
 		}
-		e.readUntil = e.readUntil.Add(ownTokens * time.Second / readRate)
-		r.ends = e.readUntil.Add(answerTime)
+		e.prefillUntil = e.prefillUntil.Add(uncachedTokens * time.Second / prefillRate)
+		r.ends = e.prefillUntil.Add(decodeTime)
 		e.running = append(e.running, r)
-		began++
-		if e.readUntil.Sub(r.arrived) <= inTime {
-			timely++
+		started++
+		if e.prefillUntil.Sub(r.arrived) <= latencyTarget {
+			inTime++
 		}
 	}
-	return began, timely
+	return started, inTime
 }
 
-// toldLoads are loads that entries know from a time on.
-type toldLoads struct {
+// loadReport holds the loads that entries know from a time on.
+type loadReport struct {
 	at    time.Time
 	loads map[registry.Incarnation]balance.EngineLoad
 }
 
-// policy is how entries go by what engines tell.
+// policy is how entries use the loads of engines.
 type policy struct {
 	name string
-	// told and admit say whether entries know engines' loads, and refuse by them; share says
-	// whether they refuse together what all of them have no room for.
-	told, admit, share bool
+	// useLoads and admit say whether entries know the loads, and refuse prompts by them; shareRoom
+	// says whether they take the demand of the other entries into account.
+	useLoads, admit, shareRoom bool
 }
 
 var policies = []policy{
-	{name: "by key alone"},
-	{name: "past engines without room", told: true},
-	{name: "refused when there is no room", told: true, admit: true},
-	{name: "refused by all entries together", told: true, admit: true, share: true},
+	{name: "by key only"},
+	{name: "skip engines without room", useLoads: true},
+	{name: "refuse when there is no room", useLoads: true, admit: true},
+	{name: "refuse by demand of all entries", useLoads: true, admit: true, shareRoom: true},
 }
 
-// fleetReplay is a fleet of engines and entries in virtual time.
+// fleetReplay simulates a fleet of engines and entries in virtual time.
 type fleetReplay struct {
-	policy  policy
-	engines map[string]*replayEngine
-	all     []registry.Instance
-	boards  []*balance.Balancer
-	random  *rand.Rand
-	// pause is how often engines are asked.
-	pause time.Duration
-	// told holds the loads that entries go by, and those on their way, the oldest first.
-	told  []toldLoads
-	later []*promptRun
-	// asked counts prompts, and refused those that were refused twice.
-	asked, timely, late, refused int
+	policy    policy
+	engines   map[string]*replayEngine
+	all       []registry.Instance
+	balancers []*balance.Balancer
+	random    *rand.Rand
+	// interval is how often engines are polled.
+	interval time.Duration
+	// reports holds the loads that entries know, and those that have not reached them yet, the
+	// oldest first. retries holds the refused prompts.
+	reports []loadReport
+	retries []*promptRun
+	// total counts prompts, and refused those that were refused twice.
+	total, inTime, late, refused int
 }
 
 func newReplay(p policy, engines, entries int) *fleetReplay {
-	f := &fleetReplay{policy: p, engines: map[string]*replayEngine{}, all: instances(engines), random: rand.New(rand.NewPCG(1, 2)), pause: askPause}
+	f := &fleetReplay{policy: p, engines: map[string]*replayEngine{}, all: instances(engines), random: rand.New(rand.NewPCG(1, 2)), interval: pollInterval}
 	for _, in := range f.all {
 		f.engines[in.ID] = &replayEngine{}
 	}
 	for n := range entries {
-		f.boards = append(f.boards, balance.New(uint64(n)))
+		f.balancers = append(f.balancers, balance.New(uint64(n)))
 	}
 	return f
 }
 
-// play plays a load, in prompts a second, with a burst from a third to two thirds of the time.
-func (f *fleetReplay) play(rate, burst float64, length time.Duration) {
+// simulate applies a load, in prompts per second, with a burst in the middle third of the time.
+func (f *fleetReplay) simulate(rate, burst float64, length time.Duration) {
 	for at := time.Duration(0); at < length; at += step {
 		clock := now.Add(at)
 		for _, e := range f.engines {
-			began, timely := e.work(clock)
-			f.timely += timely
-			f.late += began - timely
+			started, inTime := e.advance(clock)
+			f.inTime += inTime
+			f.late += started - inTime
 		}
-		if at%f.pause == 0 {
-			f.tell(clock)
+		if at%f.interval == 0 {
+			f.report(clock)
 		}
-		f.callers(clock)
+		f.retryRefused(clock)
 		expected := rate * step.Seconds()
 		if at > length/3 && at < 2*length/3 {
 			expected *= burst
 		}
 		for ; f.random.Float64() < expected; expected-- {
-			f.asked++
+			f.total++
 			f.send(&promptRun{key: 1 + f.random.Uint64N(119), arrived: clock}, clock)
 		}
 	}
 }
 
-func (f *fleetReplay) tell(clock time.Time) {
+func (f *fleetReplay) report(clock time.Time) {
 	loads := map[registry.Incarnation]balance.EngineLoad{}
 	for id, e := range f.engines {
-		loads[life(id)] = e.load()
+		loads[incarnation(id)] = e.load()
 	}
-	f.told = append(f.told, toldLoads{clock.Add(tellDelay), loads})
+	f.reports = append(f.reports, loadReport{clock.Add(reportDelay), loads})
 }
 
-// known returns what entries know of engines' loads.
+// known returns the loads that entries know.
 func (f *fleetReplay) known(clock time.Time) map[registry.Incarnation]balance.EngineLoad {
-	for len(f.told) > 1 && !clock.Before(f.told[1].at) {
-		f.told = f.told[1:]
+	for len(f.reports) > 1 && !clock.Before(f.reports[1].at) {
+		f.reports = f.reports[1:]
 	}
-	return f.told[0].loads
+	return f.reports[0].loads
 }
 
-// callers has those come back that were refused.
-func (f *fleetReplay) callers(clock time.Time) {
-	for len(f.later) > 0 && clock.Sub(f.later[0].arrived) >= comeBack {
-		r := f.later[0]
-		f.later = f.later[1:]
+// retryRefused sends refused prompts again when their retry delay has passed.
+func (f *fleetReplay) retryRefused(clock time.Time) {
+	for len(f.retries) > 0 && clock.Sub(f.retries[0].arrived) >= retryAfter {
+		r := f.retries[0]
+		f.retries = f.retries[1:]
 		f.send(r, clock)
 	}
 }
 
 func (f *fleetReplay) send(r *promptRun, clock time.Time) {
-	b := f.boards[f.random.IntN(len(f.boards))]
+	b := f.balancers[f.random.IntN(len(f.balancers))]
 	w := balance.PickInfo{Key: r.key, Tokens: promptTokens, Memory: engineMemory, Entries: 1}
-	if f.policy.told {
+	if f.policy.useLoads {
 		w.Loads = f.known(clock)
-		w.LoadsInterval = f.pause
+		w.LoadsInterval = f.interval
 	}
-	if f.policy.share {
-		w.Entries = len(f.boards)
+	if f.policy.shareRoom {
+		w.Entries = len(f.balancers)
 	}
 	if f.policy.admit {
 		if _, ok := b.Admit(f.all, w, clock); !ok {
@@ -191,65 +194,67 @@
 	f.engines[in.ID].waiting = append(f.engines[in.ID].waiting, r)
 }
 
-// refuse refuses a prompt; its caller comes back once.
+// refuse refuses a prompt; its caller retries once.
 func (f *fleetReplay) refuse(r *promptRun) {
 	if r.refused {
 		f.refused++
 		return
 	}
 	r.refused = true
-	f.later = append(f.later, r)
+	f.retries = append(f.retries, r)
 }
 
-// In a burst of more long prompts than engines have memory for, each step of the policy serves
-// more of them in time; without a burst nobody is refused. SHEDROCK_BENCH=1 prints the table.
+// In a burst of long prompts that needs more memory than the engines have, the full policy must
+// serve more of them in time than placement by key alone; without a burst no prompt may be refused.
+// SHEDROCK_BENCH=1 prints the table for each step of the policy.
 func TestBurstOfLongPrompts(t *testing.T) {
 	fleets := []struct {
 		engines, entries int
 		rate             float64
 	}{{9, 9, 12}, {60, 79, 80}}
 	for _, size := range fleets {
-		timely := map[string]float64{}
+		inTime := map[string]float64{}
 		for _, p := range policies {
 			f := newReplay(p, size.engines, size.entries)
-			f.play(size.rate, 2.2, 48*time.Second)
-			timely[p.name] = float64(f.timely) / float64(f.asked)
+			f.simulate(size.rate, 2.2, 48*time.Second)
+			inTime[p.name] = float64(f.inTime) / float64(f.total)
 			if os.Getenv("SHEDROCK_BENCH") != "" {
 				fmt.Printf("%d engines, %d entries, %-33s in time %.3f late %.3f refused twice %.3f\n", size.engines, size.entries,
-					p.name, timely[p.name], float64(f.late)/float64(f.asked), float64(f.refused)/float64(f.asked))
+					p.name, inTime[p.name], float64(f.late)/float64(f.total), float64(f.refused)/float64(f.total))
 			}
 			calm := newReplay(p, size.engines, size.entries)
-			calm.play(size.rate/2, 1, 20*time.Second)
-			if calm.refused > 0 || calm.timely < calm.asked*95/100 {
-				t.Errorf("%s: of %d prompts of a calm time %d are in time and %d refused", p.name, calm.asked, calm.timely, calm.refused)
+			calm.simulate(size.rate/2, 1, 20*time.Second)
+			if calm.refused > 0 || calm.inTime < calm.total*95/100 {
+				t.Errorf("%s: of %d prompts without a burst %d are in time and %d refused", p.name, calm.total, calm.inTime, calm.refused)
 			}
 		}
-		if before, now := timely[policies[0].name], timely[policies[3].name]; now < before+0.1 {
-			t.Errorf("%d engines: %.3f in time, and %.3f by key alone", size.engines, now, before)
+		if byKey, now := inTime[policies[0].name], inTime[policies[3].name]; now < byKey+0.1 {
+			t.Errorf("%d engines: %.3f in time, and %.3f by key alone", size.engines, now, byKey)
 		}
 	}
 }
 
-// In a large fleet each entry sees few of the prompts at an engine, so it goes by what engines
-// tell, and the older that is, the more of them meet at one. The pattern: 163 engines before 294
-// entries, whose long prompts fill engines for a while. Loads are told each 0.33 s in such a fleet;
-// each 1.1 s serves far fewer in time, and counting what was sent for as long as it is not told
-// serves more than not.
+// In a large fleet each entry sends few of the prompts that an engine gets, so it depends on
+// reported loads, and the older these are, the more prompts of different entries meet at one
+// engine. Simulates 163 engines and 294 entries whose long prompts fill the engines for a while.
+// Loads are reported every 0.33 s in such a fleet; with one report in 1.1 s far fewer prompts are
+// in time. Reservations are counted for as long as a report may not include them, which serves more
+// prompts than not counting them.
 func TestLargeFleetNeedsFreshLoads(t *testing.T) {
 	const engines, entries, rate = 163, 294, 200.0
-	timely := func(pause time.Duration) float64 {
+	inTime := func(interval time.Duration) float64 {
 		f := newReplay(policies[3], engines, entries)
-		f.pause = pause
-		f.play(rate, 1.7, 24*time.Second)
-		share := float64(f.timely) / float64(f.asked)
+		f.interval = interval
+		f.simulate(rate, 1.7, 24*time.Second)
+		share := float64(f.inTime) / float64(f.total)
 		if os.Getenv("SHEDROCK_BENCH") != "" {
-			fmt.Printf("%d engines, %d entries, loads each %v: in time %.3f late %.3f refused twice %.3f\n", engines, entries, pause,
-				share, float64(f.late)/float64(f.asked), float64(f.refused)/float64(f.asked))
+			fmt.Printf("%d engines, %d entries, loads each %v: in time %.3f late %.3f refused twice %.3f\n", engines, entries, interval,
+				share, float64(f.late)/float64(f.total), float64(f.refused)/float64(f.total))
 		}
 		return share
 	}
-	fresh, old := timely(330*time.Millisecond), timely(1100*time.Millisecond)
+	fresh, old := inTime(330*time.Millisecond), inTime(1100*time.Millisecond)
 	if fresh < old+0.08 {
-		t.Errorf("%.3f in time with fresh loads, and %.3f with old ones", fresh, old)
+		t.Errorf("%.3f in time with recent loads, and %.3f with old ones", fresh, old)
 	}
 }
--- a/internal/coordination/balance/candidates.go
+++ b/internal/coordination/balance/candidates.go
@@ -9,67 +9,68 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// mostRosters bounds the lists of instances that are kept prepared: one for each service, and a
+// maxCandidateSets bounds the number of cached candidate sets: there is one for each service, and a
 // few that leave some instances out.
-const mostRosters = 8
+const maxCandidateSets = 8
 
-// candidate is an instance with what is known of it, so that a choice among thousands looks little
-// into maps.
+// candidate is an instance with its state, so that a choice among thousands needs few map lookups.
 type candidate struct {
 	in     *registry.Instance
 	load   *load
 	domain *domain
-	// hash is that of the instance's id.
+	// hash is the hash of the instance's id.
 	hash uint64
 }
 
-// roster is a list of instances, prepared for choices among them. Invariant: its loads and domains
-// are those of the board.
-type roster struct {
-	// instances is never written to.
+// candidateSet is a list of instances, prepared for choices among them. Invariant: its loads and
+// domains are those of the balancer.
+type candidateSet struct {
+	// instances must not be modified.
 	instances  []registry.Instance
 	candidates []candidate
-	// domains holds each failure domain of the instances once.
+	// domains holds the distinct failure domains of the instances.
 	domains []*domain
 }
 
-// of reports whether a roster is that of some instances: the same list, not one that is alike.
-func (r *roster) of(instances []registry.Instance) bool {
-	return len(r.instances) == len(instances) && &r.instances[0] == &instances[0]
+// matches reports whether a candidate set was made from this very slice; an equal slice does not
+// match.
+func (set *candidateSet) matches(instances []registry.Instance) bool {
+	return len(set.instances) == len(instances) && &set.instances[0] == &instances[0]
 }
 
-// roster returns some instances prepared for choices. The list must not be written to later.
-func (b *Balancer) roster(instances []registry.Instance, now time.Time) *roster {
+// candidateSet returns the candidate set of some instances. The slice must not be modified
+// afterwards.
+func (b *Balancer) candidateSet(instances []registry.Instance, now time.Time) *candidateSet {
 	if len(instances) == 0 {
-		return &roster{}
+		return &candidateSet{}
 	}
-	for _, r := range b.rosters {
-		if r.of(instances) {
-			return r
+	for _, set := range b.candidateSets {
+		if set.matches(instances) {
+			return set
 		}
 	}
-	r := &roster{instances: instances, candidates: make([]candidate, len(instances))}
+	set := &candidateSet{instances: instances, candidates: make([]candidate, len(instances))}
 	for i := range instances {
 		in := &instances[i]
 		l := b.load(in.Incarnation())
-		l.listed = now
+		l.lastListed = now
 		l.domain = in.FailureDomain
 		d := b.domain(in.FailureDomain)
-		if !slices.Contains(r.domains, d) {
-			r.domains = append(r.domains, d)
+		if !slices.Contains(set.domains, d) {
+			set.domains = append(set.domains, d)
 		}
-		r.candidates[i] = candidate{in: in, load: l, domain: d, hash: xxhash.Sum64String(in.ID)}
+		set.candidates[i] = candidate{in: in, load: l, domain: d, hash: xxhash.Sum64String(in.ID)}
 	}
-	if len(b.rosters) == mostRosters {
-		b.rosters = slices.Delete(b.rosters, 0, 1)
+	if len(b.candidateSets) == maxCandidateSets {
+		b.candidateSets = slices.Delete(b.candidateSets, 0, 1)
 	}
-	b.rosters = append(b.rosters, r)
-	return r
+	b.candidateSets = append(b.candidateSets, set)
+	return set
 }
 
-// scratch holds the lists of a choice that is under way, which are used again by the next one.
+// scratch holds the slices of the choice in progress; their memory is used again by the next one.
 type scratch struct {
-	sound, rest, newer, roomy, calm []*candidate
-	// probe is a failing instance that the request may try, or nil.
+	healthy, fallback, newWeights, fitting, shortQueued []*candidate
+	// probe is a failing instance that the request may be sent to as a probe, or nil.
 	probe *candidate
 }
--- a/internal/coordination/balance/cold.go
+++ b/internal/coordination/balance/cold.go
@@ -7,48 +7,50 @@
 )
 
 const (
-	// coldShare is the part of what a cold instance bears that entries send it where no bound is
+	// coldShare is the share of a cold instance's capacity that entries use where no maximum is
 	// declared.
 	coldShare = 0.7
-	// coldSpan is the span in which an entry sends its part, a little over a second: requests are
-	// not all as long on their way.
-	coldSpan = 1050 * time.Millisecond
-	// coldGroups is into how many groups entries may fall that do not know of each other, as in a
-	// cut, while all of them reach an instance.
-	coldGroups = 2
+	// coldWindow is the period in which an entry sends its quota. It is a little longer than a
+	// second because requests differ in how long they take to arrive.
+	coldWindow = 1050 * time.Millisecond
+	// coldPartitions is the number of groups into which a network partition may divide the entries,
+	// so that they do not know of each other, while all of them reach an instance.
+	coldPartitions = 2
 )
 
-// Capacity is what an instance bears from all entries together in some span, a second while it is cold;
-// its zero value is without a bound.
+// Capacity is the number of requests that an instance can take from all entries together in a
+// period, which is a second for cold instances; the zero value stands for no bound.
 type Capacity struct {
-	// Rate is how many requests it bears in a span.
+	// Rate is the number of requests that it can take in a period.
 	Rate float64
-	// Max is how many it must not get more of in any span, 0 where that is not declared.
+	// Max is the number of requests that it must not exceed in any period, or 0 where none is
+	// declared.
 	Max float64
 }
 
-// part is how many requests the entries that know of each other send an instance in a span.
-func (b Capacity) part() int {
+// groupQuota is the number of requests that a group of entries that know of each other sends an
+// instance in a period.
+func (b Capacity) groupQuota() int {
 	if b.Max <= 0 {
 		return max(1, int(coldShare*b.Rate))
 	}
-	return max(1, int(min(b.Rate, b.Max/coldGroups)))
+	return max(1, int(min(b.Rate, b.Max/coldPartitions)))
 }
 
-// turn is how many of a number this entry gets: the entries take turns by their ranks, beginning with
-// another one at each instance, so that exactly the number is given out. The more entries there are,
-// the fewer of them get any: an entry that waits for its turn, and has nothing to send just then,
-// would leave it unused.
-func (w PickInfo) turn(number int, hash uint64) int {
-	entries := max(w.Entries, 1)
-	rank := min(max(w.Rank, 0), entries-1)
+// quota is the part of a total that this entry gets. The total is dealt out to the entries in the
+// order of their ranks, beginning with a different one for each instance, so that exactly the total
+// is given out. If there are more entries than the total, some get nothing: if all of them took
+// turns over time, an entry with nothing to send at its turn would leave it unused.
+func (info PickInfo) quota(total int, hash uint64) int {
+	entries := max(info.Entries, 1)
+	rank := min(max(info.Rank, 0), entries-1)
 	first := int(float64(hash>>11) / (1 << 53) * float64(entries))
-	behind := (rank - first + entries) % entries
-	return (number - behind + entries - 1) / entries
+	offset := (rank - first + entries) % entries
+	return (total - offset + entries - 1) / entries
 }
 
-// coldUntil is until when an instance counts as cold: by its own word, by that of its answers, and
-// because its failure domain was evacuated until just now.
+// coldUntil is until when an instance counts as cold: by its heartbeats, by its answers, or because
+// the evacuation of its failure domain has just ended.
 func (c *candidate) coldUntil() time.Time {
 	return latest(c.in.ColdUntil, c.domain.coldUntil, c.load.coldUntil)
 }
@@ -63,44 +65,45 @@
 	return out
 }
 
-// isCold reports whether an instance is cold and has a bound.
-func (c *candidate) isCold(w PickInfo, now time.Time) bool {
-	return w.Cold.Rate > 0 && now.Before(c.coldUntil())
+// isCold reports whether an instance is cold and its capacity is bounded.
+func (c *candidate) isCold(info PickInfo, now time.Time) bool {
+	return info.Cold.Rate > 0 && now.Before(c.coldUntil())
 }
 
-// coldPause is how much time lies between two requests of one entry to a cold instance; ok is false
-// when the entry sends it none. One that comes back looks idle beside the others, and all entries
-// would send to it at once.
-func (c *candidate) coldPause(w PickInfo) (pause time.Duration, ok bool) {
-	n := w.turn(w.Cold.part(), c.hash)
+// coldInterval is the time between two requests of one entry to a cold instance; ok is false when
+// the entry has no quota. Without it, all entries would send to an instance that returns at once,
+// because it looks idle beside the others.
+func (c *candidate) coldInterval(info PickInfo) (interval time.Duration, ok bool) {
+	n := info.quota(info.Cold.groupQuota(), c.hash)
 	if n <= 0 {
 		return 0, false
 	}
-	return coldSpan / time.Duration(n), true
+	return coldWindow / time.Duration(n), true
 }
 
-// bears reports whether an instance that may be cold bears one more request from this entry.
-func (c *candidate) bears(w PickInfo, now time.Time) bool {
-	if !c.isCold(w, now) {
+// acceptsCold reports whether an instance, if it is cold, can take one more request from this
+// entry.
+func (c *candidate) acceptsCold(info PickInfo, now time.Time) bool {
+	if !c.isCold(info, now) {
 		return true
 	}
-	_, ok := c.coldPause(w)
-	return ok && !now.Before(c.load.coldNext)
+	_, ok := c.coldInterval(info)
+	return ok && !now.Before(c.load.nextColdSend)
 }
 
-// noteCold notes that a request goes to an instance that may be cold.
-func (c *candidate) noteCold(w PickInfo, now time.Time) {
-	if !c.isCold(w, now) {
+// recordColdSend records that a request is sent to an instance that may be cold.
+func (c *candidate) recordColdSend(info PickInfo, now time.Time) {
+	if !c.isCold(info, now) {
 		return
 	}
-	if pause, ok := c.coldPause(w); ok {
-		c.load.coldNext = now.Add(pause)
+	if interval, ok := c.coldInterval(info); ok {
+		c.load.nextColdSend = now.Add(interval)
 	}
 }
 
-// SetColdUntil takes what an answer of an instance says of until when it is cold, which may be before
-// its next heartbeat does.
-func (b *Balancer) SetColdUntil(of registry.Incarnation, until time.Time) {
-	l := b.load(of)
+// SetColdUntil records until when an instance is cold by one of its answers, which may arrive
+// before the heartbeat that reports it.
+func (b *Balancer) SetColdUntil(target registry.Incarnation, until time.Time) {
+	l := b.load(target)
 	l.coldUntil = latest(l.coldUntil, until)
 }
--- a/internal/coordination/balance/cold_replay_test.go
+++ b/internal/coordination/balance/cold_replay_test.go
@@ -12,58 +12,59 @@
 )
 
 const (
-	// coldRate is what a cold instance bears in a second, and coldMost what it must not get more of.
+	// coldRate is the number of requests that a cold instance can take in a second, and coldMax the
+	// number that it must not exceed.
 	coldRate = 14
-	coldMost = 26
-	// coldAfter is when instances turn cold in a replay, coldFor for how long, and coldLate how late
-	// at most an entry knows of it.
+	coldMax  = 26
+	// coldAfter is when instances become cold, coldFor for how long, and coldDelay the longest
+	// delay until an entry knows.
 	coldAfter = 2 * time.Second
 	coldFor   = 6 * time.Second
-	coldLate  = time.Second
-	// coldInstances of coldFleet turn cold.
+	coldDelay = time.Second
+	// coldInstances of the coldFleet instances become cold.
 	coldInstances = 4
 	coldFleet     = 40
 )
 
-// coldReplay is a fleet of entries before instances of which some turn cold.
+// coldReplay simulates entries and instances of which some become cold.
 type coldReplay struct {
 	entries int
-	// rate is how many requests a second each entry gets.
+	// rate is the number of requests per second of each entry.
 	rate float64
-	// keyed says that prompts go by key, and hot that from the middle of the time on half of them
-	// ask for what ranks one cold instance first.
+	// keyed says that prompts are placed by key, and hot that from the middle of the time on half
+	// of them have a key for which one cold instance has the highest score.
 	keyed, hot bool
-	// busy says that requests wait at warm instances.
+	// busy says that requests wait at the instances that are not cold.
 	busy bool
-	// apart is the part of the entries that do not know of the others, nor the others of them, as on
-	// the other side of a cut.
-	apart float64
+	// partitioned is the share of the entries that are on the other side of a network partition:
+	// they do not know of the others, nor the others of them.
+	partitioned float64
 }
 
-// play returns the most that a cold instance got in any second once its turning cold was known, and
-// how many it got in a second in the mean.
-func (r coldReplay) play(seed uint64) (most int, mean float64) {
+// simulate returns the most requests that a cold instance got in any second once all entries knew
+// that it is cold, and its mean number of requests per second.
+func (r coldReplay) simulate(seed uint64) (most int, mean float64) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	var boards []*balance.Balancer
-	late := make([]time.Duration, r.entries)
+	var balancers []*balance.Balancer
+	delays := make([]time.Duration, r.entries)
 	for n := range r.entries {
-		boards = append(boards, balance.New(seed*uint64(r.entries)+uint64(n)))
-		late[n] = time.Duration(random.Int64N(int64(coldLate)))
+		balancers = append(balancers, balance.New(seed*uint64(r.entries)+uint64(n)))
+		delays[n] = time.Duration(random.Int64N(int64(coldDelay)))
 	}
 	warm := instances(coldFleet)
 	cold := instances(coldFleet)
 	for i := range coldInstances {
-		// They have started again.
+		// These instances have restarted.
 		cold[i].Start = 1
 		cold[i].ColdUntil = now.Add(coldAfter + coldFor)
 	}
 	hotKey := keyOf(warm, "i0")
-	side := int(float64(r.entries) * r.apart)
+	side := int(float64(r.entries) * r.partitioned)
 	rate := r.rate * float64(r.entries)
 	arrived := map[string][]time.Time{}
 	for at := time.Duration(0); at < coldAfter+coldFor; at += time.Duration(random.ExpFloat64() / rate * float64(time.Second)) {
 		e := random.IntN(r.entries)
-		w := balance.PickInfo{Entries: r.entries - side, Rank: e, Cold: balance.Capacity{Rate: coldRate, Max: coldMost}}
+		w := balance.PickInfo{Entries: r.entries - side, Rank: e, Cold: balance.Capacity{Rate: coldRate, Max: coldMax}}
 		if e >= w.Entries {
 			w.Entries, w.Rank = side, e-w.Entries
 		}
@@ -74,22 +75,22 @@
 			w.Key = hotKey
 		}
 		all := warm
-		if at > coldAfter+late[e] {
+		if at > coldAfter+delays[e] {
 			all = cold
 		}
 		clock := now.Add(at)
-		in, ok := boards[e].Pick(all, w, clock)
+		in, ok := balancers[e].Pick(all, w, clock)
 		if !ok {
 			continue
 		}
-		boards[e].Begin(in, clock)
-		boards[e].RecordResponse(in.Incarnation(), clock)
+		balancers[e].Begin(in, clock)
+		balancers[e].RecordResponse(in.Incarnation(), clock)
 		latency := 60 * time.Millisecond
 		if in.Start == 0 && r.busy {
 			latency = 200 * time.Millisecond
 		}
-		boards[e].End(in.Incarnation(), balance.Result{Latency: latency}, clock)
-		if at > coldAfter+coldLate {
+		balancers[e].End(in.Incarnation(), balance.Result{Latency: latency}, clock)
+		if at > coldAfter+coldDelay {
 			arrived[in.ID] = append(arrived[in.ID], clock)
 		}
 	}
@@ -97,12 +98,12 @@
 	for i := range coldInstances {
 		times := arrived[warm[i].ID]
 		got += len(times)
-		most = max(most, mostWithin(times, time.Second))
+		most = max(most, maxWithin(times, time.Second))
 	}
-	return most, float64(got) / coldInstances / (coldFor - coldLate).Seconds()
+	return most, float64(got) / coldInstances / (coldFor - coldDelay).Seconds()
 }
 
-// keyOf returns a key for which an instance goes first.
+// keyOf returns a key for which an instance has the highest score.
 func keyOf(all []registry.Instance, id string) uint64 {
 	for key := uint64(1); ; key++ {
 		in, _ := balance.New(1).Pick(all, balance.PickInfo{Key: key}, now)
@@ -112,8 +113,8 @@
 	}
 }
 
-// mostWithin returns the most of some times, in their order, that lie within a span.
-func mostWithin(times []time.Time, span time.Duration) int {
+// maxWithin returns the largest number of the given times, which are sorted, within a span.
+func maxWithin(times []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= span {
@@ -124,23 +125,24 @@
 	return most
 }
 
-// The pattern: instances that turn cold amid traffic, before 4 to 300 entries that learn of it up to
-// a second late and do not all count each other. In no second does one get more than it may from all
-// entries together, also when one key gets half of the requests at once; where requests wait at the
-// others, and more come than they can take, it gets three quarters of what it bears. SHEDROCK_BENCH=1 prints the table.
+// Instances become cold under traffic from 4 to 300 entries, which learn of it up to a second late
+// and do not all know of each other. In no second may an instance get more requests than its
+// maximum from all entries together, even if half of the requests suddenly have the same key. If
+// requests wait at the other instances, and there are more than these can take, it must get three
+// quarters of its capacity. SHEDROCK_BENCH=1 prints the table.
 func TestColdInstancesOfManyEntries(t *testing.T) {
 	for _, entries := range []int{4, 8, 76, 300} {
 		for _, r := range []coldReplay{
 			{entries: entries, rate: 20},
 			{entries: entries, rate: 20, busy: true},
-			{entries: entries, rate: 20, apart: 0.25},
+			{entries: entries, rate: 20, partitioned: 0.25},
 			{entries: entries, rate: 20, keyed: true},
 			{entries: entries, rate: 20, keyed: true, hot: true},
 		} {
 			most, mean := 0, 0.0
 			const seeds = 5
 			for seed := range uint64(seeds) {
-				m, each := r.play(seed)
+				m, each := r.simulate(seed)
 				most = max(most, m)
 				mean += each / seeds
 			}
@@ -148,12 +150,12 @@
 			if os.Getenv("SHEDROCK_BENCH") != "" {
 				fmt.Printf("%s: most %d, mean %.1f\n", name, most, mean)
 			}
-			if most > coldMost {
-				t.Errorf("%s: %d requests in a second", name, most)
+			if most > coldMax {
+				t.Errorf("%s: %d requests in a second, more than the maximum", name, most)
 			}
 			enough := r.rate*float64(r.entries) >= coldRate*coldFleet
 			if enough && r.busy && mean < 0.75*coldRate {
-				t.Errorf("%s: %.1f requests in a second in the mean", name, mean)
+				t.Errorf("%s: %.1f requests per second on average", name, mean)
 			}
 		}
 	}
--- a/internal/coordination/balance/cold_test.go
+++ b/internal/coordination/balance/cold_test.go
@@ -9,16 +9,17 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// The pattern: instances that come back cold amid traffic, each of which bears 14 requests a second
-// and falls over at well above that, before 76 entries that send 1,400 requests a second by key or
-// by wait. In no second does one get more than 26, it gets some, and its part again once it is warm.
-func TestColdInstancesGetLittle(t *testing.T) {
-	const entries, rate, bears, most = 76, 1400, 14, 26
+// Instances with a capacity of 14 requests per second, which fail well above that, return cold
+// under the traffic of 76 entries that send 1,400 requests per second, by key or by wait. In no
+// second may such an instance get more than 26; it must get some requests, and its usual share once
+// it is warm.
+func TestColdInstancesStayWithinCapacity(t *testing.T) {
+	const entries, rate, capacity, most = 76, 1400, 14, 26
 	for _, keyed := range []bool{true, false} {
 		for seed := range uint64(5) {
-			var boards []*balance.Balancer
+			var balancers []*balance.Balancer
 			for n := range uint64(entries) {
-				boards = append(boards, balance.New(seed*entries+n))
+				balancers = append(balancers, balance.New(seed*entries+n))
 			}
 			all := instances(40)
 			warmAt := now.Add(4 * time.Second)
@@ -28,8 +29,8 @@
 			got := map[string][]time.Time{}
 			for n := range 8 * rate {
 				at := now.Add(time.Duration(n) * time.Second / rate)
-				b := boards[n%entries]
-				w := balance.PickInfo{Entries: entries, Rank: n % entries, Cold: balance.Capacity{Rate: bears, Max: most}}
+				b := balancers[n%entries]
+				w := balance.PickInfo{Entries: entries, Rank: n % entries, Cold: balance.Capacity{Rate: capacity, Max: most}}
 				if keyed {
 					w.Key = uint64(n)*0x9e3779b97f4a7c15 | 1
 				}
@@ -46,7 +47,7 @@
 	}
 }
 
-// checkCold holds the requests that an instance got to what it bears while it is cold.
+// checkCold checks the requests that an instance got against its maximum while it is cold.
 func checkCold(t *testing.T, name string, got []time.Time, warmAt time.Time, most int) {
 	t.Helper()
 	first, cold := 0, 0
@@ -57,7 +58,7 @@
 		if at.Before(warmAt) {
 			cold++
 			if i-first+1 > most {
-				t.Errorf("%s: %d requests in a second", name, i-first+1)
+				t.Errorf("%s: %d requests in a second while it is cold", name, i-first+1)
 				return
 			}
 		}
@@ -67,15 +68,15 @@
 	}
 }
 
-// An instance that says nothing of being cold, and one of a service without a bound, get what they
-// get.
-func TestColdNeedsABound(t *testing.T) {
+// Instances that do not report that they are cold, and those of a service without a capacity for
+// cold instances, are not restricted.
+func TestColdNeedsACapacity(t *testing.T) {
 	cold := registry.Instance{ID: "cold", Slots: 8, ColdUntil: now.Add(time.Hour)}
 	b := balance.New(1)
 	for range 20 {
 		in, ok := b.Pick([]registry.Instance{cold}, balance.PickInfo{Entries: 5}, now)
 		if !ok || in.ID != "cold" {
-			t.Fatal("it got none")
+			t.Fatal("the instance was not chosen")
 		}
 	}
 }
--- a/internal/coordination/balance/condition.go
+++ b/internal/coordination/balance/condition.go
@@ -6,94 +6,94 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// condition is what an instance said of itself in its answers. It outlasts disuse: an instance that wants
-// no requests is not used.
+// condition is what an instance reported about itself in its answers. It is kept by Prune, because
+// an instance that accepts no requests is not used.
 type condition struct {
-	// coldUntil is until when the instance is cold, and coldNext when it may be sent the next request
-	// while it is cold.
-	coldUntil, coldNext time.Time
-	// limit is how many requests it takes.
+	// coldUntil is until when the instance is cold, and nextColdSend when this entry may send it
+	// the next request while it is cold.
+	coldUntil, nextColdSend time.Time
+	// limit is the request rate that it accepts.
 	limit Limit
-	// limitNext is when it may be sent the next request while it has a limit, or zero while this entry
-	// has no turn.
-	limitNext time.Time
-	// limitUnreadable says that the last limit that it named did not read.
+	// nextLimitedSend is when this entry may send it the next request while it has a limit, or zero
+	// while the entry has no quota.
+	nextLimitedSend time.Time
+	// limitUnreadable says that its latest limit could not be parsed.
 	limitUnreadable bool
-	// restUntil is until when it wants nothing from this entry.
+	// restUntil is until when it accepts no requests from this entry.
 	restUntil time.Time
-	// leaving says that it will end, and wants nothing more.
+	// leaving says that it is about to stop, and accepts no more requests.
 	leaving bool
 }
 
-// SetRestUntil takes that an instance wants no request from this entry until some time, and reports whether it
-// wanted none already. An earlier end takes nothing back.
-func (b *Balancer) SetRestUntil(of registry.Incarnation, until, now time.Time) (began bool) {
-	l := b.load(of)
+// SetRestUntil records that an instance accepts no requests from this entry until a time. It
+// reports whether the instance was not resting already. An earlier end does not shorten a rest.
+func (b *Balancer) SetRestUntil(target registry.Incarnation, until, now time.Time) (began bool) {
+	l := b.load(target)
 	began = !now.Before(l.restUntil)
 	l.restUntil = latest(l.restUntil, until)
 	return began
 }
 
-// RestRemaining returns for how long an instance wants no request from this entry, or 0.
-func (b *Balancer) RestRemaining(of registry.Incarnation, now time.Time) time.Duration {
-	return max(0, b.load(of).restUntil.Sub(now))
+// RestRemaining returns for how long an instance still accepts no requests from this entry, or 0.
+func (b *Balancer) RestRemaining(target registry.Incarnation, now time.Time) time.Duration {
+	return max(0, b.load(target).restUntil.Sub(now))
 }
 
-// SetLeaving takes that an instance will end, and reports whether that is news.
-func (b *Balancer) SetLeaving(of registry.Incarnation) (news bool) {
-	l := b.load(of)
-	news = !l.leaving
+// SetLeaving records that an instance is about to stop, and reports whether that was not known.
+func (b *Balancer) SetLeaving(target registry.Incarnation) (changed bool) {
+	l := b.load(target)
+	changed = !l.leaving
 	l.leaving = true
-	return news
+	return changed
 }
 
-// Leaving reports whether an instance said that it will end.
-func (b *Balancer) Leaving(of registry.Incarnation) bool { return b.load(of).leaving }
+// Leaving reports whether an instance reported that it is about to stop.
+func (b *Balancer) Leaving(target registry.Incarnation) bool { return b.load(target).leaving }
 
-// rests reports whether an instance wants no request from this entry now.
-func (c *condition) rests(now time.Time) bool { return now.Before(c.restUntil) }
+// resting reports whether an instance accepts no requests from this entry now.
+func (c *condition) resting(now time.Time) bool { return now.Before(c.restUntil) }
 
-// Backpressure says why a request finds no instance though there are some, by the one that takes it first. It
-// is one of Resting or Limited.
-type Backpressure interface{ heldBack() }
+// Backpressure is the reason why no instance accepts a request although there are some, taken from
+// the instance that accepts one first. It is one of Resting or Limited.
+type Backpressure interface{ backpressure() }
 
-// Resting says that the instance asked for rest.
+// Resting says that the instance asked for a rest.
 type Resting struct{ Remaining time.Duration }
 
-// Limited says that the instance has as many requests as it takes.
+// Limited says that the instance gets as many requests as its limit allows.
 type Limited struct{ Remaining time.Duration }
 
-func (Resting) heldBack() {}
-func (Limited) heldBack() {}
+func (Resting) backpressure() {}
+func (Limited) backpressure() {}
 
-// Backpressure returns what holds a request back for which Pick finds none of some instances, or nil when
-// that is nothing that they said of themselves.
-func (b *Balancer) Backpressure(instances []registry.Instance, w PickInfo, now time.Time) Backpressure {
+// Backpressure returns why Pick chooses none of some instances for a request, or nil when they
+// reported nothing that is the reason.
+func (b *Balancer) Backpressure(instances []registry.Instance, info PickInfo, now time.Time) Backpressure {
 	var first Backpressure
-	var least time.Duration
-	r := b.roster(instances, now)
-	for i := range r.candidates {
-		c := &r.candidates[i]
-		if c.domain.evacuated || c.load.leaving || w.tried(c.in) {
+	var shortest time.Duration
+	set := b.candidateSet(instances, now)
+	for i := range set.candidates {
+		c := &set.candidates[i]
+		if c.domain.evacuated || c.load.leaving || info.tried(c.in) {
 			continue
 		}
-		held, left := c.heldBack(w, now)
-		if held != nil && (first == nil || left < least) {
-			first, least = held, left
+		cause, remaining := c.backpressure(info, now)
+		if cause != nil && (first == nil || remaining < shortest) {
+			first, shortest = cause, remaining
 		}
 	}
 	return first
 }
 
-// heldBack returns what an instance said that keeps a request from it, and for how long.
-func (c *candidate) heldBack(w PickInfo, now time.Time) (held Backpressure, left time.Duration) {
+// backpressure returns why an instance accepts no request now, and for how long.
+func (c *candidate) backpressure(info PickInfo, now time.Time) (cause Backpressure, remaining time.Duration) {
 	switch {
-	case c.load.rests(now):
-		left = c.load.restUntil.Sub(now)
-		return Resting{left}, left
-	case !c.withinLimit(w, now):
-		left = c.limitedFor(now)
-		return Limited{left}, left
+	case c.load.resting(now):
+		remaining = c.load.restUntil.Sub(now)
+		return Resting{remaining}, remaining
+	case !c.withinLimit(info, now):
+		remaining = c.limitRemaining(now)
+		return Limited{remaining}, remaining
 	}
 	return nil, 0
 }
--- a/internal/coordination/balance/domains.go
+++ b/internal/coordination/balance/domains.go
@@ -7,117 +7,120 @@
 )
 
 const (
-	// darkAfter is how long nothing may be heard of a failure domain in which instances keep
-	// requests without a word, or cannot be reached, until all of it counts as cut off. A
-	// sound engine was quiet for up to 0.7 s on a calm day; that two are, and nothing of the
-	// others there is heard meanwhile, was not seen.
-	darkAfter = 500 * time.Millisecond
-	// darkWitnesses is how many instances must show it: one alone may be ill itself.
-	darkWitnesses = 2
-	// quietTimes is how many times its usual latency an instance may be without a word before
-	// it is a witness.
-	quietTimes = 3
-	// probeEvery is how often a request that may run again elsewhere is let through to a
-	// domain that is cut off, and probeOnceEvery how often any other is.
-	probeEvery     = time.Second
-	probeOnceEvery = 4 * time.Second
+	// A failure domain counts as cut off when it has been quiet for partitionedAfter and some of
+	// its instances do not answer requests or cannot be reached. A healthy engine at normal load
+	// may be quiet for up to 0.7 s; that two are while all others of the domain send nothing either
+	// has not been seen.
+	partitionedAfter = 500 * time.Millisecond
+	// minUnresponsive is how many instances must be unresponsive; a single one may be faulty
+	// itself.
+	minUnresponsive = 2
+	// quietLatencies is for how many times its mean latency an instance must have sent nothing to
+	// count as unresponsive in its domain.
+	quietLatencies = 3
+	// retryableProbeInterval is how often a retryable request is sent to a domain that is cut off,
+	// as a probe, and nonRetryableProbeInterval how often any other request is.
+	retryableProbeInterval    = time.Second
+	nonRetryableProbeInterval = 4 * time.Second
 )
 
-// domain is what is known of a failure domain. Each instance in a cut costs a request or a
-// timeout of connecting until it is known by itself; one that is known to be in a domain that
-// is cut off costs none.
+// domain is the state of a failure domain. In a partition it costs a request or a connection
+// timeout to detect each unresponsive instance; the instances of a domain that is known to be cut
+// off are avoided at no cost.
 type domain struct {
-	// heard is when any instance there last said a word.
-	heard time.Time
-	// unreached holds the instances with which time ran out since then.
-	unreached map[registry.Incarnation]bool
-	// probed is when a request was last let through while it was cut off.
-	probed time.Time
-	name   string
-	// evacuated says that its instances get no request, and coldUntil until when they count as cold.
+	// lastResponse is when any of its instances last sent a response.
+	lastResponse time.Time
+	// timedOut holds the instances that did not respond before a timeout since then.
+	timedOut map[registry.Incarnation]bool
+	// lastProbe is when a request was last sent to it while it was cut off.
+	lastProbe time.Time
+	name      string
+	// evacuated says that its instances get no requests, and coldUntil until when they count as
+	// cold.
 	evacuated bool
 	coldUntil time.Time
-	// witnesses and dark are of the choice that is under way: how many instances show that the
-	// domain is cut off, and whether it counts as that.
-	witnesses int
-	dark      bool
+	// unresponsiveCount and partitioned belong to the choice in progress: how many instances
+	// indicate that the domain is cut off, and whether it is avoided for that.
+	unresponsiveCount int
+	partitioned       bool
 }
 
 func (b *Balancer) domain(name string) *domain {
 	d, ok := b.domains[name]
 	if !ok {
-		d = &domain{name: name, unreached: map[registry.Incarnation]bool{}}
+		d = &domain{name: name, timedOut: map[registry.Incarnation]bool{}}
 		b.domains[name] = d
 	}
 	return d
 }
 
-func (d *domain) hear(now time.Time) {
-	d.heard = now
-	clear(d.unreached)
+func (d *domain) recordResponse(now time.Time) {
+	d.lastResponse = now
+	clear(d.timedOut)
 }
 
-// markEvacuated notes which failure domains are evacuated, and which ones return: their instances may
-// have turned cold lately, and look idle beside all others.
-func (r *roster) markEvacuated(w PickInfo) {
-	for _, d := range r.domains {
-		_, d.evacuated = w.Evacuated[d.name]
+// markEvacuated marks the failure domains that are evacuated. Instances of those whose evacuation
+// has ended count as cold for a while: they may have become cold meanwhile, and look idle beside
+// all others.
+func (set *candidateSet) markEvacuated(info PickInfo) {
+	for _, d := range set.domains {
+		_, d.evacuated = info.Evacuated[d.name]
 		d.coldUntil = time.Time{}
-		if since, ok := w.Returned[d.name]; ok {
-			d.coldUntil = since.Add(w.ColdFor)
+		if since, ok := info.Returned[d.name]; ok {
+			d.coldUntil = since.Add(info.ColdFor)
 		}
 	}
 }
 
-// markDark notes which failure domains count as cut off, without those to which the request may be
-// let through. All of a deployment never does.
-func (r *roster) markDark(w PickInfo, now time.Time) {
+// markPartitioned marks the failure domains that are cut off, except for those that the request may
+// probe. If all domains would be marked, none is.
+func (set *candidateSet) markPartitioned(info PickInfo, now time.Time) {
 	quiet := false
-	for _, d := range r.domains {
-		d.witnesses, d.dark = 0, false
+	for _, d := range set.domains {
+		d.unresponsiveCount, d.partitioned = 0, false
 		quiet = quiet || d.quiet(now)
 	}
 	if !quiet {
 		return
 	}
-	for i := range r.candidates {
-		c := &r.candidates[i]
-		if !c.domain.evacuated && c.domain.quiet(now) && (c.domain.unreached[c.in.Incarnation()] || c.load.quiet(now)) {
-			c.domain.witnesses++
+	for i := range set.candidates {
+		c := &set.candidates[i]
+		if !c.domain.evacuated && c.domain.quiet(now) && (c.domain.timedOut[c.in.Incarnation()] || c.load.quiet(now)) {
+			c.domain.unresponsiveCount++
 		}
 	}
-	cut := 0
-	for _, d := range r.domains {
+	excluded := 0
+	for _, d := range set.domains {
 		if d.evacuated {
-			cut++
+			excluded++
 			continue
 		}
-		d.dark = d.witnesses >= darkWitnesses && now.Sub(d.probed) < w.probes()
-		if d.dark {
-			cut++
+		d.partitioned = d.unresponsiveCount >= minUnresponsive && now.Sub(d.lastProbe) < info.probeInterval()
+		if d.partitioned {
+			excluded++
 		}
 	}
-	if cut < len(r.domains) {
+	if excluded < len(set.domains) {
 		return
 	}
-	for _, d := range r.domains {
-		d.dark = false
+	for _, d := range set.domains {
+		d.partitioned = false
 	}
 }
 
-// quiet reports whether nothing was heard of a failure domain lately.
-func (d *domain) quiet(now time.Time) bool { return now.Sub(d.heard) >= darkAfter }
+// quiet reports whether a failure domain has sent no response for partitionedAfter.
+func (d *domain) quiet(now time.Time) bool { return now.Sub(d.lastResponse) >= partitionedAfter }
 
-// probes is how long after the last probe a request is let through.
-func (w PickInfo) probes() time.Duration {
-	if w.Retryable {
-		return probeEvery
+// probeInterval is the time after the last probe at which the request may be sent as the next one.
+func (info PickInfo) probeInterval() time.Duration {
+	if info.Retryable {
+		return retryableProbeInterval
 	}
-	return probeOnceEvery
+	return nonRetryableProbeInterval
 }
 
-// quiet reports whether an instance keeps requests and has been without a word for longer
-// than is usual for it.
+// quiet reports whether an instance has requests in flight and has sent nothing for longer than
+// usual.
 func (l *load) quiet(now time.Time) bool {
-	return l.wordless(now, darkAfter, quietTimes)
+	return l.noResponseFor(now, partitionedAfter, quietLatencies)
 }
--- a/internal/coordination/balance/evacuation_test.go
+++ b/internal/coordination/balance/evacuation_test.go
@@ -10,16 +10,16 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// The pattern: a failure domain is evacuated amid requests of all kinds. Nothing begins there, by key
-// or by wait, first or again, also when all other domains look cut off; what nobody else can take is
-// not taken.
+// A failure domain is evacuated under requests of all kinds. None may be sent there, by key or by
+// wait, as a first attempt or as a retry, even if all other domains look cut off; without another
+// instance a request gets none.
 func TestEvacuatedDomainGetsNothing(t *testing.T) {
 	evacuated := map[string]time.Time{"d1": now}
-	tried := []registry.Incarnation{life("i0"), life("i3")}
+	tried := []registry.Incarnation{incarnation("i0"), incarnation("i3")}
 	for name, w := range map[string]balance.PickInfo{
 		"by wait":       {},
 		"by key":        {Key: 1},
-		"again":         {Retryable: true, Tried: tried},
+		"retry":         {Retryable: true, Tried: tried},
 		"a long prompt": {Key: 1, Tokens: 10_000, Memory: 50_000},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -30,56 +30,57 @@
 				if w.Key != 0 {
 					w.Key = uint64(n + 1)
 				}
-				in, ok := b.Pick(spread(), w, at)
+				in, ok := b.Pick(threeDomains(), w, at)
 				if !ok || in.FailureDomain == "d1" {
 					t.Fatalf("request %d goes to %q of %q", n, in.ID, in.FailureDomain)
 				}
-				// Nothing is ever heard of the other domains.
+				// The other domains never respond.
 				b.Begin(in, at)
 				b.End(in.Incarnation(), balance.Result{Failed: true, Unreachable: true, TimedOut: true}, at)
 			}
 		})
 	}
 	w := balance.PickInfo{Evacuated: map[string]time.Time{"d0": now, "d1": now, "d2": now}}
-	if in, ok := balance.New(1).Pick(spread(), w, now); ok {
+	if in, ok := balance.New(1).Pick(threeDomains(), w, now); ok {
 		t.Errorf("with all domains evacuated %s is chosen", in.ID)
 	}
 }
 
-// The instances of a domain that returns may have turned cold lately, and nobody has heard of it yet:
-// they are sent what cold ones bear for as long as those are cold after a start, and their part then.
+// The instances of a domain whose evacuation has ended may have become cold without having reported
+// it yet. They must get no more requests than cold instances for as long as instances are cold
+// after a start, and their usual share then.
 func TestReturnedDomainCountsAsCold(t *testing.T) {
 	const entries, rate, cold = 20, 400, 3 * time.Second
-	all := spread()
-	var boards []*balance.Balancer
+	all := threeDomains()
+	var balancers []*balance.Balancer
 	for n := range uint64(entries) {
-		boards = append(boards, balance.New(n))
+		balancers = append(balancers, balance.New(n))
 	}
 	got := map[string][]time.Time{}
 	for n := range 8 * rate {
 		at := now.Add(time.Duration(n) * time.Second / rate)
 		w := balance.PickInfo{
-			Entries: entries, Rank: n % entries, Cold: balance.Capacity{Rate: coldRate, Max: coldMost}, ColdFor: cold,
+			Entries: entries, Rank: n % entries, Cold: balance.Capacity{Rate: coldRate, Max: coldMax}, ColdFor: cold,
 			Returned: map[string]time.Time{"d1": now},
 		}
-		in, _ := boards[n%entries].Pick(all, w, at)
-		boards[n%entries].Begin(in, at)
-		boards[n%entries].End(in.Incarnation(), balance.Result{Latency: 60 * time.Millisecond}, at)
+		in, _ := balancers[n%entries].Pick(all, w, at)
+		balancers[n%entries].Begin(in, at)
+		balancers[n%entries].End(in.Incarnation(), balance.Result{Latency: 60 * time.Millisecond}, at)
 		got[in.ID] = append(got[in.ID], at)
 	}
 	for _, in := range all {
 		if in.FailureDomain == "d1" {
-			checkCold(t, in.ID, got[in.ID], now.Add(cold), coldMost)
+			checkCold(t, in.ID, got[in.ID], now.Add(cold), coldMax)
 		}
 	}
 }
 
-// An answer may say that an instance is cold before its heartbeat does.
-func TestAnswerTellsOfCold(t *testing.T) {
+// An answer may report that an instance is cold before its heartbeat does.
+func TestAnswerReportsCold(t *testing.T) {
 	b := balance.New(1)
 	two := instances(2)
 	w := balance.PickInfo{Key: keyOf(two, "i0"), Entries: 1, Cold: balance.Capacity{Rate: 2, Max: 4}}
-	b.SetColdUntil(life("i0"), now.Add(time.Minute))
+	b.SetColdUntil(incarnation("i0"), now.Add(time.Minute))
 	got := map[string]int{}
 	for n := range 100 {
 		at := now.Add(time.Duration(n) * 10 * time.Millisecond)
--- a/internal/coordination/balance/failing.go
+++ b/internal/coordination/balance/failing.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// probeFailing is how often an instance that answers and fails is tried, by all entries together.
-const probeFailing = time.Second
+// failingProbeInterval is how often a failing instance is probed, by all entries together.
+const failingProbeInterval = time.Second
 
-// mayProbe reports whether this request is to try a failing instance: one that may run again
-// elsewhere, of the entry whose turn it is.
-func (c *candidate) mayProbe(w PickInfo, now time.Time) bool {
-	return w.Retryable && w.turn(1, c.hash) > 0 && !now.Before(c.load.probeNext)
+// mayProbe reports whether this request may probe a failing instance: it must be retryable, and
+// from the entry that has the quota for the probe.
+func (c *candidate) mayProbe(info PickInfo, now time.Time) bool {
+	return info.Retryable && info.quota(1, c.hash) > 0 && !now.Before(c.load.nextProbe)
 }
--- a/internal/coordination/balance/limit.go
+++ b/internal/coordination/balance/limit.go
@@ -7,145 +7,150 @@
 )
 
 const (
-	// limitSpan is the span over which entries share what an instance with a limit takes. Each leaves
-	// limitMargin more between its own requests, which are not all as long on their way.
-	limitSpan   = 4 * time.Second
+	// limitWindow is the period over which entries share the limit of an instance. Each entry adds
+	// limitMargin to the time between its requests, because requests differ in how long they take
+	// to arrive.
+	limitWindow = 4 * time.Second
 	limitMargin = 200 * time.Millisecond
-	// limitOverage and limitSlack bound what an instance may get in limitSpan from entries that do not
-	// all know of each other: so many times its limit, and so many requests more.
+	// limitOverage and limitSlack bound what an instance may get in limitWindow from entries that
+	// do not all know of each other: limitOverage times its limit plus limitSlack requests.
 	limitOverage = 1.5
 	limitSlack   = 5
-	// limitRotation is for how long turns stay with the same entries, where there are more entries than
-	// turns. Then others have them, so that each learns in the end that a limit was taken back.
-	limitRotation = 3 * (limitSpan + limitMargin)
-	// limitLeast is what an instance is sent at least, in requests a second, so that entries learn that it
-	// takes more again; limitMost is a limit that no instance reaches.
-	limitLeast = 0.1
-	limitMost  = 1e6
+	// limitRotation is how long the same entries keep the quota if there are more entries than
+	// requests. Then other entries get it, so that each of them finds out at some time that the
+	// limit was lifted.
+	limitRotation = 3 * (limitWindow + limitMargin)
+	// minLimit is the rate, in requests per second, at which entries send even to an instance with
+	// a lower limit, to find out when the limit is raised; maxLimit is higher than any instance's
+	// rate.
+	minLimit = 0.1
+	maxLimit = 1e6
 )
 
-// Limit is what an instance said last of how many requests it takes from all entries together.
+// Limit is the request rate that an instance accepts from all entries together, by its latest
+// report.
 type Limit struct {
-	// Active is false when it takes as many as come.
+	// Active is false when the instance has no limit.
 	Active bool
-	// PerSecond is how many requests a second it takes, at least 0.
+	// PerSecond is the number of requests that it accepts per second, at least 0.
 	PerSecond float64
-	// At is when it was heard, or, of one that is not named any more, when the request was sent whose
-	// answer named none. A later word takes the place of an earlier one.
+	// At is when the limit was received or, if it is not active, when the request was sent whose
+	// answer had no limit. A report with a later time replaces one with an earlier time.
 	At time.Time
-	// since is when the first of the limits was heard that have been named without a break.
-	since time.Time
+	// activeSince is when the first limit was received since the instance last had none.
+	activeSince time.Time
 }
 
-// SetLimit takes the limit that an instance named in an answer, and reports whether it is another one
-// than was known.
-func (b *Balancer) SetLimit(of registry.Incarnation, perSecond float64, now time.Time) (changed bool) {
-	return b.load(of).note(Limit{Active: true, PerSecond: perSecond, At: now})
+// SetLimit records the limit in an answer of an instance, and reports whether it differs from the
+// known one.
+func (b *Balancer) SetLimit(target registry.Incarnation, perSecond float64, now time.Time) (changed bool) {
+	return b.load(target).update(Limit{Active: true, PerSecond: perSecond, At: now})
 }
 
-// ClearLimit takes that an instance named no limit in the answer to a request that was sent at some
-// time, and reports whether one was known. An answer may be overtaken by a later one that names a limit,
-// so only a request that was sent after the limit was heard takes it back.
-func (b *Balancer) ClearLimit(of registry.Incarnation, sent time.Time) (changed bool) {
-	return b.load(of).note(Limit{At: sent})
+// ClearLimit records that the answer to a request that was sent at a time had no limit, and reports
+// whether a limit was known. Answers may arrive out of order, so only a request that was sent after
+// the limit was received clears it.
+func (b *Balancer) ClearLimit(target registry.Incarnation, sent time.Time) (changed bool) {
+	return b.load(target).update(Limit{At: sent})
 }
 
-// MarkLimitUnreadable takes that an instance named a limit that does not read; the one that is known
-// holds on. It reports whether the last word was readable.
-func (b *Balancer) MarkLimitUnreadable(of registry.Incarnation) (changed bool) {
-	l := b.load(of)
+// MarkLimitUnreadable records that an instance sent a limit that could not be parsed; the known
+// limit stays in force. It reports whether the report before could be parsed.
+func (b *Balancer) MarkLimitUnreadable(target registry.Incarnation) (changed bool) {
+	l := b.load(target)
 	changed = !l.limitUnreadable
 	l.limitUnreadable = true
 	return changed
 }
 
-// Limit returns what is known of an instance's limit.
-func (b *Balancer) Limit(of registry.Incarnation) Limit { return b.load(of).limit }
+// Limit returns the known limit of an instance.
+func (b *Balancer) Limit(target registry.Incarnation) Limit { return b.load(target).limit }
 
-// note takes a word on the limit.
-func (l *load) note(word Limit) (changed bool) {
+// update replaces the limit by a later one, and reports whether it differs.
+func (l *load) update(next Limit) (changed bool) {
 	l.limitUnreadable = false
-	known := l.limit
-	if !word.At.After(known.At) {
+	current := l.limit
+	if !next.At.After(current.At) {
 		return false
 	}
-	word.since = word.At
-	if known.Active {
-		word.since = known.since
+	next.activeSince = next.At
+	if current.Active {
+		next.activeSince = current.activeSince
 	}
-	l.limit = word
-	changed = known.Active != word.Active || known.PerSecond != word.PerSecond
+	l.limit = next
+	changed = current.Active != next.Active || current.PerSecond != next.PerSecond
 	if changed {
-		l.limitNext = time.Time{}
+		l.nextLimitedSend = time.Time{}
 	}
 	return changed
 }
 
-// rate is how many requests a second all entries together send an instance with a limit.
-func (l Limit) rate() float64 { return min(max(l.PerSecond, limitLeast), limitMost) }
+// rate is the number of requests per second that all entries together send to an instance with a
+// limit.
+func (l Limit) rate() float64 { return min(max(l.PerSecond, minLimit), maxLimit) }
 
-// bound is what an instance with a limit takes in limitSpan.
-func (l Limit) bound() Capacity {
-	number := l.rate() * limitSpan.Seconds()
-	return Capacity{Rate: number, Max: limitOverage*number + limitSlack}
+// capacity is the number of requests that an instance with a limit can take in limitWindow.
+func (l Limit) capacity() Capacity {
+	total := l.rate() * limitWindow.Seconds()
+	return Capacity{Rate: total, Max: limitOverage*total + limitSlack}
 }
 
-// interval is how much time lies between two requests of all entries.
-func (l Limit) interval() time.Duration { return time.Duration(float64(time.Second) / l.rate()) }
+// fleetInterval is the time between two requests of all entries together.
+func (l Limit) fleetInterval() time.Duration { return time.Duration(float64(time.Second) / l.rate()) }
 
-// turns is how many requests this entry may send in limitSpan.
-func (l Limit) turns(w PickInfo, hash uint64, now time.Time) int {
-	number := l.bound().part()
-	entries := max(w.Entries, 1)
-	rotations := int(now.Sub(l.since) / limitRotation)
-	w.Rank = (w.Rank + rotations%entries*number) % entries
-	return w.turn(number, hash)
+// limitQuota is the number of requests that this entry may send in limitWindow.
+func (l Limit) limitQuota(info PickInfo, hash uint64, now time.Time) int {
+	total := l.capacity().groupQuota()
+	entries := max(info.Entries, 1)
+	rotations := int(now.Sub(l.activeSince) / limitRotation)
+	info.Rank = (info.Rank + rotations%entries*total) % entries
+	return info.quota(total, hash)
 }
 
-// pause is how much time lies between two requests of one entry to an instance with a limit; ok is false
-// when the entry sends it none.
-func (l Limit) pause(w PickInfo, hash uint64, now time.Time) (pause time.Duration, ok bool) {
-	n := l.turns(w, hash, now)
+// entryInterval is the time between two requests of one entry to an instance with a limit; ok is
+// false when the entry has no quota.
+func (l Limit) entryInterval(info PickInfo, hash uint64, now time.Time) (entryInterval time.Duration, ok bool) {
+	n := l.limitQuota(info, hash, now)
 	if n <= 0 {
 		return 0, false
 	}
-	return max((limitSpan+limitMargin)/time.Duration(n), l.interval()), true
+	return max((limitWindow+limitMargin)/time.Duration(n), l.fleetInterval()), true
 }
 
-// withinLimit reports whether an instance that may have a limit takes one more request from this entry.
-// An entry that gets a turn waits for as long as it is from one of its requests to the next: whoever had
-// the turn before it, or sent freely until the limit was known, may have sent just now.
-func (c *candidate) withinLimit(w PickInfo, now time.Time) bool {
+// withinLimit reports whether an instance accepts one more request from this entry under its limit,
+// if it has one. An entry that gets a quota first waits for its own interval: the entry that had
+// the quota before, or this one before it knew of the limit, may have sent a request just now.
+func (c *candidate) withinLimit(info PickInfo, now time.Time) bool {
 	l := c.load
 	if !l.limit.Active {
 		return true
 	}
-	pause, ok := l.limit.pause(w, c.hash, now)
+	entryInterval, ok := l.limit.entryInterval(info, c.hash, now)
 	if !ok {
-		l.limitNext = time.Time{}
+		l.nextLimitedSend = time.Time{}
 		return false
 	}
-	if l.limitNext.IsZero() {
-		l.limitNext = now.Add(pause)
+	if l.nextLimitedSend.IsZero() {
+		l.nextLimitedSend = now.Add(entryInterval)
 	}
-	return !now.Before(l.limitNext)
+	return !now.Before(l.nextLimitedSend)
 }
 
-// noteSent notes that a request goes to an instance that may have a limit.
-func (c *candidate) noteSent(w PickInfo, now time.Time) {
+// recordLimitedSend records that a request is sent to an instance that may have a limit.
+func (c *candidate) recordLimitedSend(info PickInfo, now time.Time) {
 	if !c.load.limit.Active {
 		return
 	}
-	if pause, ok := c.load.limit.pause(w, c.hash, now); ok {
-		c.load.limitNext = now.Add(pause)
+	if entryInterval, ok := c.load.limit.entryInterval(info, c.hash, now); ok {
+		c.load.nextLimitedSend = now.Add(entryInterval)
 	}
 }
 
-// limitedFor is how long it is until an instance with a limit takes one more request: of this entry, or
-// where others have the turns, of any.
-func (c *candidate) limitedFor(now time.Time) time.Duration {
-	if !c.load.limitNext.IsZero() {
-		return c.load.limitNext.Sub(now)
+// limitRemaining is the time until an instance with a limit accepts one more request: from this
+// entry or, if it has no quota, from any.
+func (c *candidate) limitRemaining(now time.Time) time.Duration {
+	if !c.load.nextLimitedSend.IsZero() {
+		return c.load.nextLimitedSend.Sub(now)
 	}
-	return c.load.limit.interval()
+	return c.load.limit.fleetInterval()
 }
--- a/internal/coordination/balance/limit_test.go
+++ b/internal/coordination/balance/limit_test.go
@@ -11,30 +11,30 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// limitedBoard is a board of one entry among some, with one instance that may name a limit.
-type limitedBoard struct {
+// limitedBalancer is a balancer of one of several entries, and an instance that may have a limit.
+type limitedBalancer struct {
 	*balance.Balancer
 	in   registry.Instance
-	wish balance.PickInfo
+	info balance.PickInfo
 }
 
-func newLimitedBoard(entries int) *limitedBoard {
-	return &limitedBoard{Balancer: balance.New(1), in: registry.Instance{ID: "few", Slots: 4}, wish: balance.PickInfo{Entries: entries}}
+func newLimitedBalancer(entries int) *limitedBalancer {
+	return &limitedBalancer{Balancer: balance.New(1), in: registry.Instance{ID: "few", Slots: 4}, info: balance.PickInfo{Entries: entries}}
 }
 
-// sendFor asks for an instance each 10 ms for some time, and returns how often there was one.
-func (b *limitedBoard) sendFor(from, length time.Duration) (sent int) {
+// sendFor asks for an instance every 10 ms, and returns how often it got one.
+func (b *limitedBalancer) sendFor(from, length time.Duration) (sent int) {
 	all := []registry.Instance{b.in}
 	for at := from; at < from+length; at += 10 * time.Millisecond {
-		if _, ok := b.Pick(all, b.wish, now.Add(at)); ok {
+		if _, ok := b.Pick(all, b.info, now.Add(at)); ok {
 			sent++
 		}
 	}
 	return sent
 }
 
-// A limit was passed over whatever its number: one entry alone sends no more than it in the long run, and
-// one request in ten seconds where that is less, which shows whether the limit still holds.
+// Limits were ignored. One entry alone must not exceed a limit in the long run, and it must send
+// one request in ten seconds under lower limits, to find out whether they are still in force.
 func TestOneEntryKeepsToALimit(t *testing.T) {
 	const length = 200 * time.Second
 	for _, c := range []struct {
@@ -43,7 +43,7 @@
 	}{
 		{4.5, 600, 900}, {1, 150, 200}, {0.25, 40, 50}, {0.1, 10, 20}, {0, 10, 20}, {1e-12, 10, 20}, {1e300, 19000, 20000}, {math.MaxFloat64, 19000, 20000},
 	} {
-		b := newLimitedBoard(1)
+		b := newLimitedBalancer(1)
 		b.SetLimit(b.in.Incarnation(), c.perSecond, now)
 		if sent := b.sendFor(0, length); sent < c.least || sent > c.most {
 			t.Errorf("%g a second: %d requests in %s, expected %d to %d", c.perSecond, sent, length, c.least, c.most)
@@ -51,56 +51,57 @@
 	}
 }
 
-// An answer that was overtaken took back a limit that had just been named.
-func TestLimitIsTakenBackByALaterRequestOnly(t *testing.T) {
-	b := newLimitedBoard(1)
-	of := b.in.Incarnation()
+// An answer that arrived out of order cleared a limit that had just been set.
+func TestOnlyALaterRequestClearsALimit(t *testing.T) {
+	b := newLimitedBalancer(1)
+	target := b.in.Incarnation()
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	got := []bool{
-		b.ClearLimit(of, at(0)),
-		b.SetLimit(of, 4, at(100)),
-		b.SetLimit(of, 4, at(110)),
-		b.ClearLimit(of, at(90)),
-		b.Limit(of).Active,
-		b.SetLimit(of, 2, at(120)),
-		b.ClearLimit(of, at(130)),
-		b.ClearLimit(of, at(140)),
-		b.Limit(of).Active,
+		b.ClearLimit(target, at(0)),
+		b.SetLimit(target, 4, at(100)),
+		b.SetLimit(target, 4, at(110)),
+		b.ClearLimit(target, at(90)),
+		b.Limit(target).Active,
+		b.SetLimit(target, 2, at(120)),
+		b.ClearLimit(target, at(130)),
+		b.ClearLimit(target, at(140)),
+		b.Limit(target).Active,
 	}
 	if diff := cmp.Diff([]bool{false, true, false, false, true, true, true, false, false}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// A limit that does not read took the place of the one that was known.
-func TestUnreadableLimitLeavesTheKnownOne(t *testing.T) {
-	b := newLimitedBoard(1)
-	of := b.in.Incarnation()
-	b.SetLimit(of, 4, now)
-	got := []bool{b.MarkLimitUnreadable(of), b.MarkLimitUnreadable(of), b.Limit(of).Active, b.SetLimit(of, 4, now.Add(time.Second)), b.MarkLimitUnreadable(of)}
+// A limit that could not be parsed replaced the known one.
+func TestUnreadableLimitKeepsTheKnownOne(t *testing.T) {
+	b := newLimitedBalancer(1)
+	target := b.in.Incarnation()
+	b.SetLimit(target, 4, now)
+	got := []bool{b.MarkLimitUnreadable(target), b.MarkLimitUnreadable(target), b.Limit(target).Active, b.SetLimit(target, 4, now.Add(time.Second)), b.MarkLimitUnreadable(target)}
 	if diff := cmp.Diff([]bool{true, false, true, false, true}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// A limit was forgotten with the load of an instance that is not used, as one that takes nothing is not.
-func TestLimitOutlastsDisuse(t *testing.T) {
-	b := newLimitedBoard(1)
+// A limit was dropped with the state of an unused instance; an instance that accepts nothing is
+// always unused.
+func TestLimitSurvivesPrune(t *testing.T) {
+	b := newLimitedBalancer(1)
 	b.SetLimit(b.in.Incarnation(), 0, now)
 	sent := 0
 	for s := range 200 {
-		// Lists are joined anew all the time.
+		// Each call passes a new slice, as when instance lists are rebuilt.
 		sent += b.sendFor(time.Duration(s)*time.Second, time.Second)
 		b.Prune(now.Add(time.Duration(s-1) * time.Second))
 	}
 	if sent > 20 {
-		t.Errorf("%d requests in 200 s to an instance that takes none", sent)
+		t.Errorf("%d requests in 200 s to an instance with a limit of 0", sent)
 	}
 }
 
 // The next incarnation at an address was held to the limit of the one before.
 func TestLimitEndsWithTheIncarnation(t *testing.T) {
-	b := newLimitedBoard(8)
+	b := newLimitedBalancer(8)
 	b.SetLimit(b.in.Incarnation(), 0, now)
 	b.in.Start = 1
 	if sent := b.sendFor(0, time.Second); sent != 100 {
@@ -108,9 +109,10 @@
 	}
 }
 
-// All that had been sent freely until a limit was known came on top of the first requests within it.
-func TestEntryThatIsToldWaitsFirst(t *testing.T) {
-	b := newLimitedBoard(1)
+// The requests sent before a limit was known were followed at once by the first ones within the
+// limit, and both together exceeded it.
+func TestFirstRequestAfterNewLimitWaits(t *testing.T) {
+	b := newLimitedBalancer(1)
 	b.sendFor(0, time.Second)
 	b.SetLimit(b.in.Incarnation(), 1, now.Add(time.Second))
 	if sent := b.sendFor(time.Second, time.Second); sent > 0 {
@@ -121,32 +123,33 @@
 	}
 }
 
-// An entry without a turn never learned that a limit was taken back, so most entries of a large fleet left
-// the instance alone for good.
-func TestEveryEntryLearnsThatALimitEnded(t *testing.T) {
+// An entry without a quota never found out that a limit was lifted, so in a large fleet most
+// entries never used the instance again.
+func TestEveryEntryProbesALimit(t *testing.T) {
 	const entries, number = 76, 16
 	in := registry.Instance{ID: "few", Slots: 4}
 	all := []registry.Instance{in}
-	// Every entry has had a turn once as many rotations are over as it takes to give each one.
+	// After this number of rotations, every entry has had a quota.
 	const rotation, rotations = 12600 * time.Millisecond, (entries + number - 1) / number
 	for rank := range entries {
 		b := balance.New(uint64(rank))
 		b.SetLimit(in.Incarnation(), 4.5, now)
 		w := balance.PickInfo{Entries: entries, Rank: rank}
-		asked := false
-		for at := time.Duration(0); at <= rotation*rotations && !asked; at += 100 * time.Millisecond {
-			_, asked = b.Pick(all, w, now.Add(at))
+		sent := false
+		for at := time.Duration(0); at <= rotation*rotations && !sent; at += 100 * time.Millisecond {
+			_, sent = b.Pick(all, w, now.Add(at))
 		}
-		if !asked {
-			t.Errorf("entry %d asked for nothing", rank)
+		if !sent {
+			t.Errorf("entry %d sent no request", rank)
 		}
 	}
 }
 
-// What a replay must tell apart: with equal parts of the rate, or without sharing, fifty entries send more.
-func TestLimitReplayRejectsOtherWays(t *testing.T) {
-	for _, how := range []sharing{equally, notAtAll} {
-		most, _ := limitReplay{entries: 50, rate: 20, sharing: how}.play(1)
+// Checks that the simulation detects wrong ways of sharing: with equal rates, or unshared, fifty
+// entries must exceed the limit.
+func TestLimitReplayRejectsOtherSharing(t *testing.T) {
+	for _, how := range []sharing{equalRates, unshared} {
+		most, _ := limitReplay{entries: 50, rate: 20, sharing: how}.simulate(1)
 		if most <= limitAllowed {
 			t.Errorf("%s: %d requests in a window pass", how, most)
 		}
--- a/internal/coordination/balance/pick.go
+++ b/internal/coordination/balance/pick.go
@@ -9,177 +9,181 @@
 )
 
 const (
-	// loadFactor is how far above the mean an instance may be loaded before the next one
-	// in rank is taken: consistent hashing with bounded loads (Mirrokni et al., 2018)
-	// shows that a quarter more keeps most keys in place.
+	// loadFactor is how far above the mean an instance may be loaded before the next one in rank is
+	// chosen: consistent hashing with bounded loads (Mirrokni et al., 2018) shows that a quarter
+	// more keeps most keys in place.
 	loadFactor = 1.25
-	// loadSpare lets one request more pass at small loads, where a quarter is nothing.
-	loadSpare = 1.0
-	// failedBase is one and a little more, so that an instance that failed all lately still
-	// has a finite wait and is tried now and then: twenty times as long as a sound one's.
+	// loadSlack allows one more request at small loads, where a quarter is less than one.
+	loadSlack = 1.0
+	// failedBase is slightly more than 1, so that the wait of an instance whose latest requests all
+	// failed is finite, twenty times that of a healthy one, and it is tried now and then.
 	failedBase = 1.05
-	// newerShare is how much more than their part of the instances gets the requests while
-	// weights change: the new ones are preferred, and not overrun while they are few.
-	newerShare = 1.5
+	// newWeightsFactor limits the share of requests that goes to instances with new weights during
+	// a weight update, as a multiple of their share of the instances: they are preferred, but not
+	// overloaded while there are few of them.
+	newWeightsFactor = 1.5
 )
 
-// PickInfo is what a request asks for.
+// PickInfo describes a request and the state of the fleet for the choice of an instance.
 type PickInfo struct {
-	// Key is 0 for requests that may run anywhere as well.
+	// Key is the hash of the shared prefix, or 0 for requests that run equally well on any
+	// instance.
 	Key uint64
-	// Retryable says that the request may run once more elsewhere, if nothing is heard of it.
+	// Retryable says that the request may be sent to another instance if the first does not answer.
 	Retryable bool
-	// Tried are the instances that had the request already.
+	// Tried holds the instances to which the request was sent before.
 	Tried []registry.Incarnation
-	// Failing are instances that answer and fail, and get a request now and then.
+	// Failing holds the instances that accept requests and fail them; they get only probes.
 	Failing map[registry.Incarnation]bool
-	// Busy are instances that are taken only when nothing else is left.
+	// Busy holds the instances that are chosen only when there are no others.
 	Busy map[registry.Incarnation]bool
-	// Tokens is the memory that the request takes at most, and Memory what each engine has;
-	// both are 0 for requests that take none.
+	// Tokens is the memory that the request takes at most, and Memory the memory of each engine,
+	// both in tokens; both are 0 for requests that take none.
 	Tokens, Memory int
-	// Loads holds what engines told of themselves, as far as it is known.
+	// Loads holds the loads that engines reported, as far as they are known.
 	Loads map[registry.Incarnation]EngineLoad
-	// LoadsInterval is how often engines are asked for their loads; 0 stands for the usual.
+	// LoadsInterval is how often engines are polled for their loads; 0 stands for the default.
 	LoadsInterval time.Duration
-	// Entries is how many entries send requests there, at least 1, and Rank this one's place among
-	// them, from 0.
+	// Entries is the number of entries that send requests to these instances, at least 1, and Rank
+	// the position of this entry among them, from 0.
 	Entries, Rank int
-	// Cold is what an instance bears from all entries while it is cold.
+	// Cold is the capacity of a cold instance for the requests of all entries.
 	Cold Capacity
-	// ColdFor is for how long instances count as cold that are used again after an evacuation.
+	// ColdFor is for how long instances count as cold after an evacuation has ended.
 	ColdFor time.Duration
-	// Evacuated holds the failure domains whose instances get no request, and Returned since when
-	// others are used again; both by name, and nil for none.
+	// Evacuated holds the failure domains whose instances get no requests, and Returned when the
+	// evacuation of others ended; both by name, and nil for none.
 	Evacuated, Returned map[string]time.Time
-	// Model and Weights, when set, name the weight version that is preferred.
+	// Model and Weights, if set, name the version of the weights that is preferred.
 	Model   string
 	Weights uint64
 }
 
-// tried reports whether an instance had the request already.
-func (w PickInfo) tried(in *registry.Instance) bool {
-	return len(w.Tried) > 0 && slices.Contains(w.Tried, in.Incarnation())
+// tried reports whether the request was sent to an instance before.
+func (info PickInfo) tried(in *registry.Instance) bool {
+	return len(info.Tried) > 0 && slices.Contains(info.Tried, in.Incarnation())
 }
 
-// Pick chooses an instance; ok is false when there is none that was not tried. The list must not
-// be written to later.
-func (b *Balancer) Pick(instances []registry.Instance, w PickInfo, now time.Time) (chosen registry.Instance, ok bool) {
-	open := b.open(b.roster(instances, now), w, now)
+// Pick chooses an instance; ok is false when there is no eligible one. The slice must not be
+// modified afterwards.
+func (b *Balancer) Pick(instances []registry.Instance, info PickInfo, now time.Time) (chosen registry.Instance, ok bool) {
+	eligible := b.eligible(b.candidateSet(instances, now), info, now)
 	if c := b.scratch.probe; c != nil {
-		c.load.probeNext = now.Add(probeFailing)
-		c.noteSent(w, now)
+		c.load.nextProbe = now.Add(failingProbeInterval)
+		c.recordLimitedSend(info, now)
 		return *c.in, true
 	}
-	if len(open) == 0 {
+	if len(eligible) == 0 {
 		return registry.Instance{}, false
 	}
-	open = b.preferNewer(open, w)
+	eligible = b.preferNewWeights(eligible, info)
 	var best *candidate
-	if w.Key != 0 {
-		best = b.pickByKey(b.withRoom(open, w, now), w.Key)
+	if info.Key != 0 {
+		best = b.pickByKey(b.withRoom(eligible, info, now), info.Key)
 	} else {
-		best = b.pickByWait(open)
+		best = b.pickByWait(eligible)
 	}
-	best.noteCold(w, now)
-	best.noteSent(w, now)
+	best.recordColdSend(info, now)
+	best.recordLimitedSend(info, now)
 	return *best.in, true
 }
 
-// open leaves out what was tried, what is evacuated, what leaves or asked for rest and what takes no
-// more, and also what is busy, silent, cut off or failed lately unless nothing else is left. The list
-// holds until the next choice.
-func (b *Balancer) open(r *roster, w PickInfo, now time.Time) []*candidate {
-	sound, rest := b.scratch.sound[:0], b.scratch.rest[:0]
+// eligible returns the candidates for a request. It leaves out instances that were tried, are
+// evacuated, leaving or resting, or have no capacity left for this entry. Those that are failing,
+// busy, unresponsive, backed off or in a failure domain that is cut off are returned only when
+// there are no others. The slice is valid until the next choice.
+func (b *Balancer) eligible(set *candidateSet, info PickInfo, now time.Time) []*candidate {
+	healthy, fallback := b.scratch.healthy[:0], b.scratch.fallback[:0]
 	b.scratch.probe = nil
-	r.markEvacuated(w)
-	r.markDark(w, now)
-	for i := range r.candidates {
-		c := &r.candidates[i]
+	set.markEvacuated(info)
+	set.markPartitioned(info, now)
+	for i := range set.candidates {
+		c := &set.candidates[i]
 		switch {
 		case c.domain.evacuated:
-		case w.tried(c.in), c.load.leaving, c.load.rests(now):
-		case !c.bears(w, now), !c.withinLimit(w, now):
-		case len(w.Failing) > 0 && w.Failing[c.in.Incarnation()]:
-			rest = append(rest, c)
-			if c.mayProbe(w, now) {
+		case info.tried(c.in), c.load.leaving, c.load.resting(now):
+		case !c.acceptsCold(info, now), !c.withinLimit(info, now):
+		case len(info.Failing) > 0 && info.Failing[c.in.Incarnation()]:
+			fallback = append(fallback, c)
+			if c.mayProbe(info, now) {
 				b.scratch.probe = c
 			}
-		case c.domain.dark || len(w.Busy) > 0 && w.Busy[c.in.Incarnation()] || now.Before(c.load.avoidUntil) || c.load.silent(now):
-			rest = append(rest, c)
+		case c.domain.partitioned || len(info.Busy) > 0 && info.Busy[c.in.Incarnation()] || now.Before(c.load.avoidUntil) || c.load.unresponsive(now):
+			fallback = append(fallback, c)
 		default:
-			sound = append(sound, c)
+			healthy = append(healthy, c)
 		}
 	}
-	b.scratch.sound, b.scratch.rest = sound, rest
-	if len(sound) > 0 {
-		return sound
+	b.scratch.healthy, b.scratch.fallback = healthy, fallback
+	if len(healthy) > 0 {
+		return healthy
 	}
-	return rest
+	return fallback
 }
 
-// preferNewer keeps the instances with the wanted weights for most requests.
-func (b *Balancer) preferNewer(open []*candidate, w PickInfo) []*candidate {
-	if w.Weights == 0 {
-		return open
+// preferNewWeights returns the candidates with the preferred weights, for most requests.
+func (b *Balancer) preferNewWeights(eligible []*candidate, info PickInfo) []*candidate {
+	if info.Weights == 0 {
+		return eligible
 	}
-	newer := b.scratch.newer[:0]
-	for _, c := range open {
-		if c.in.Weights[w.Model] >= w.Weights {
-			newer = append(newer, c)
+	newWeights := b.scratch.newWeights[:0]
+	for _, c := range eligible {
+		if c.in.Weights[info.Model] >= info.Weights {
+			newWeights = append(newWeights, c)
 		}
 	}
-	b.scratch.newer = newer
-	share := newerShare * float64(len(newer)) / float64(len(open))
-	if len(newer) == 0 || b.random.Float64() >= share {
-		return open
+	b.scratch.newWeights = newWeights
+	share := newWeightsFactor * float64(len(newWeights)) / float64(len(eligible))
+	if len(newWeights) == 0 || b.random.Float64() >= share {
+		return eligible
 	}
-	return newer
+	return newWeights
 }
 
-// pickByKey takes the first instance in the key's rank whose load is within the bound.
-func (b *Balancer) pickByKey(open []*candidate, key uint64) *candidate {
+// pickByKey chooses the candidate with the highest score for the key among those within the load
+// bound.
+func (b *Balancer) pickByKey(eligible []*candidate, key uint64) *candidate {
 	total := 0
-	for _, c := range open {
+	for _, c := range eligible {
 		total += c.load.inFlight
 	}
-	bound := loadFactor*float64(total+1)/float64(len(open)) + loadSpare
+	bound := loadFactor*float64(total+1)/float64(len(eligible)) + loadSlack
 	var best *candidate
-	var bestRank uint64
-	for _, c := range open {
+	var bestScore uint64
+	for _, c := range eligible {
 		if float64(c.load.inFlight+1) > bound {
 			continue
 		}
-		if rank := c.rank(key); best == nil || rank > bestRank {
-			best, bestRank = c, rank
+		if score := c.score(key); best == nil || score > bestScore {
+			best, bestScore = c, score
 		}
 	}
 	if best == nil {
-		return b.pickByWait(open)
+		return b.pickByWait(eligible)
 	}
 	return best
 }
 
-// rank is the instance's place for a key: the highest goes first.
-func (c *candidate) rank(key uint64) uint64 {
+// score is the rendezvous hash of a key and an instance: the highest score is chosen first.
+func (c *candidate) score(key uint64) uint64 {
 	x := c.hash ^ key
-	// The finaliser of splitmix64 spreads the bits of the two.
+	// The finaliser of splitmix64 mixes the bits of the two.
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// pickByWait takes the instance with the shortest expected wait; a share of failures
-// counts as time lost.
-func (b *Balancer) pickByWait(open []*candidate) *candidate {
-	offset := b.random.IntN(len(open))
+// pickByWait chooses the candidate with the shortest expected wait, which grows with the share of
+// failures.
+func (b *Balancer) pickByWait(eligible []*candidate) *candidate {
+	offset := b.random.IntN(len(eligible))
 	best := math.Inf(1)
 	var chosen *candidate
-	for i := range open {
-		c := open[(i+offset)%len(open)]
+	for i := range eligible {
+		c := eligible[(i+offset)%len(eligible)]
 		l := c.load
 		slots := float64(max(c.in.Slots, 1))
-		wait := l.latency * (1 + float64(l.inFlight)/slots) * (1 + float64(l.inFlight)) / (failedBase - l.failed)
+		wait := l.latency * (1 + float64(l.inFlight)/slots) * (1 + float64(l.inFlight)) / (failedBase - l.failureRate)
 		if wait < best {
 			best = wait
 			chosen = c
--- a/internal/coordination/balance/room.go
+++ b/internal/coordination/balance/room.go
@@ -8,142 +8,148 @@
 )
 
 const (
-	// longShare says which prompts are long: those of which so many fill an engine. A few of
-	// them take all of its memory while most of its places are free. An engine without room
-	// makes the least urgent of its requests give way and reads their prompts again, and what
-	// was fetched for those that wait is dropped; in a measured burst over half of the long
-	// prompts then came late, and 3.5 million tokens were read again in 34 s at 9 engines.
-	longShare = 16
-	// headroomShare is the part of an engine's memory that is left to the answers of what runs
-	// there and to short prompts. A third of it and double measured the same.
-	headroomShare = 12
-	// countedShare bounds what of one prompt counts: the largest ones, of half an engine, would
-	// hardly ever find room under load, and be refused while others are served.
-	countedShare = 4
-	// onTheWay is how late an entry knows an engine's load besides the time between two questions:
-	// engines tell it 0.1 s late, entries are told each 0.2 s, and both ways take their time.
-	onTheWay = 400 * time.Millisecond
-	// usualInterval stands for how often engines are asked where that is not told.
-	usualInterval = 200 * time.Millisecond
+	// longDivisor defines long prompts: those that take at least 1/longDivisor of an engine's
+	// memory. A few of them fill the memory while most of the engine's slots are free. An engine
+	// without room preempts its least urgent requests and computes their prompts again, and drops
+	// what was fetched for waiting requests; in a burst at 9 engines over half of the long prompts
+	// were late for that, and 3.5 million tokens were computed again in 34 s.
+	longDivisor = 16
+	// 1/headroomDivisor of an engine's memory is kept free for the answers of running requests and
+	// for short prompts. A third of it and double gave the same results.
+	headroomDivisor = 12
+	// countedDivisor limits the room that is required for one prompt to 1/countedDivisor of the
+	// memory: the largest prompts, of half an engine, would hardly ever find room under load, and
+	// would be refused while others are served.
+	countedDivisor = 4
+	// maxLoadDelay is the longest delay until an entry knows an engine's load, besides the polling
+	// interval: engines report it 0.1 s late, entries get reports every 0.2 s, and both take time
+	// to arrive.
+	maxLoadDelay = 400 * time.Millisecond
+	// defaultLoadsInterval is the polling interval that is assumed where it is not known.
+	defaultLoadsInterval = 200 * time.Millisecond
 )
 
-// EngineLoad is what an engine told of its queue and its memory.
+// EngineLoad is the load that an engine reported.
 type EngineLoad struct {
-	// Waiting is how many requests wait there, and Used how many tokens of memory are taken
-	// by runs and cannot give way.
+	// Waiting is the number of requests in its queue, and Used the number of tokens of memory that
+	// running requests take and that cannot be freed by preemption.
 	Waiting, Used int
 }
 
-// sent is a request on its way, which an engine's own word may not count yet.
-type sent struct {
+// reservation is the memory of a request that an engine's reported load may not include yet.
+type reservation struct {
 	at     time.Time
 	tokens int
 }
 
-// interval is how often engines are asked.
-func (w PickInfo) interval() time.Duration { return cmp.Or(w.LoadsInterval, usualInterval) }
+// loadsInterval is how often engines are polled for their loads.
+func (info PickInfo) loadsInterval() time.Duration {
+	return cmp.Or(info.LoadsInterval, defaultLoadsInterval)
+}
 
-// unseen is for how long an engine's own word may lack what was sent there.
-func (w PickInfo) unseen() time.Duration { return onTheWay + w.interval() }
+// maxLoadAge is for how long an engine's reported load may not include a request that was sent to
+// it.
+func (info PickInfo) maxLoadAge() time.Duration { return maxLoadDelay + info.loadsInterval() }
 
-// Reserve notes the memory that a request takes that goes to an engine.
-func (b *Balancer) Reserve(to registry.Incarnation, w PickInfo, now time.Time) {
-	l := b.load(to)
-	l.sent = append(l.sentSince(now, w.unseen()), sent{at: now, tokens: w.Tokens})
+// Reserve records the memory of a request that is sent to an engine.
+func (b *Balancer) Reserve(target registry.Incarnation, info PickInfo, now time.Time) {
+	l := b.load(target)
+	l.reservations = append(l.recentReservations(now, info.maxLoadAge()), reservation{at: now, tokens: info.Tokens})
 }
 
-// sentSince returns what went to an engine so lately that its own word may lack it.
-func (l *load) sentSince(now time.Time, unseen time.Duration) []sent {
+// recentReservations returns the reservations that the engine's reported load may not include yet.
+func (l *load) recentReservations(now time.Time, maxLoadAge time.Duration) []reservation {
 	first := 0
-	for first < len(l.sent) && now.Sub(l.sent[first].at) > unseen {
+	for first < len(l.reservations) && now.Sub(l.reservations[first].at) > maxLoadAge {
 		first++
 	}
-	return l.sent[first:]
+	return l.reservations[first:]
 }
 
-// Long reports whether a few requests like this one fill an engine.
-func (w PickInfo) Long() bool { return w.Memory > 0 && w.Tokens*longShare >= w.Memory }
+// Long reports whether a few requests of this size fill an engine.
+func (info PickInfo) Long() bool { return info.Memory > 0 && info.Tokens*longDivisor >= info.Memory }
 
-// Free returns how many tokens of an engine's memory are free, as far as it is known.
-func (b *Balancer) Free(of registry.Incarnation, w PickInfo, now time.Time) (tokens int, known bool) {
-	told, known := w.Loads[of]
-	if !known || w.Memory == 0 {
+// Free returns how many tokens of an engine's memory are free, if its load is known.
+func (b *Balancer) Free(target registry.Incarnation, info PickInfo, now time.Time) (tokens int, known bool) {
+	reported, known := info.Loads[target]
+	if !known || info.Memory == 0 {
 		return 0, false
 	}
-	return b.load(of).free(told, w, now), true
+	return b.load(target).free(reported, info, now), true
 }
 
-// free returns how many tokens are free by what an engine told and what was sent there since.
-func (l *load) free(told EngineLoad, w PickInfo, now time.Time) int {
-	free := w.Memory - told.Used
-	for _, s := range l.sentSince(now, w.unseen()) {
+// free returns how many tokens are free by an engine's reported load and the reservations since.
+func (l *load) free(reported EngineLoad, info PickInfo, now time.Time) int {
+	free := info.Memory - reported.Used
+	for _, s := range l.recentReservations(now, info.maxLoadAge()) {
 		free -= s.tokens
 	}
 	return free
 }
 
-// room returns how many tokens of an engine's memory are free, as far as it is known, and whether
-// that is room for a request. A long one goes only where nothing waits; a short one overtakes what
-// waits.
-func (c *candidate) room(w PickInfo, now time.Time) (free int, known, has bool) {
-	if w.Memory == 0 {
+// room returns how many tokens of an engine's memory are free, whether that is known, and whether
+// the request fits. A long prompt fits only if no requests wait; a short one overtakes waiting
+// requests.
+func (c *candidate) room(info PickInfo, now time.Time) (free int, known, fits bool) {
+	if info.Memory == 0 {
 		return 0, false, false
 	}
-	told, known := w.Loads[c.in.Incarnation()]
+	reported, known := info.Loads[c.in.Incarnation()]
 	if !known {
 		return 0, false, false
 	}
-	free = c.load.free(told, w, now)
-	if w.Long() {
-		return free, true, told.Waiting == 0 && free >= min(w.Tokens, w.Memory/countedShare)+w.Memory/headroomShare
+	free = c.load.free(reported, info, now)
+	if info.Long() {
+		return free, true, reported.Waiting == 0 && free >= min(info.Tokens, info.Memory/countedDivisor)+info.Memory/headroomDivisor
 	}
-	return free, true, free >= w.Tokens
+	return free, true, free >= info.Tokens
 }
 
-// withRoom keeps the engines that have room. Where none is known to have any, a long prompt
-// passes over those with the longest queues, and a short one goes by its key alone.
-func (b *Balancer) withRoom(open []*candidate, w PickInfo, now time.Time) []*candidate {
-	out := b.scratch.roomy[:0]
-	for _, c := range open {
-		if _, _, has := c.room(w, now); has {
+// withRoom returns the engines that have room for a request. If none is known to have room, it
+// leaves out the engines with the longest queues for a long prompt, and none for a short one.
+func (b *Balancer) withRoom(eligible []*candidate, info PickInfo, now time.Time) []*candidate {
+	out := b.scratch.fitting[:0]
+	for _, c := range eligible {
+		if _, _, fits := c.room(info, now); fits {
 			out = append(out, c)
 		}
 	}
-	b.scratch.roomy = out
+	b.scratch.fitting = out
 	if len(out) > 0 {
 		return out
 	}
-	if w.Long() {
-		return b.notCrowded(open, w.Loads)
+	if info.Long() {
+		return b.withShortQueues(eligible, info.Loads)
 	}
-	return open
+	return eligible
 }
 
-// notCrowded leaves out the engines at which more waits than the bound allows, of which an
-// entry sees little by itself. Those of which nothing is known stay.
-func (b *Balancer) notCrowded(open []*candidate, loads map[registry.Incarnation]EngineLoad) []*candidate {
+// withShortQueues leaves out the engines whose queues exceed the load bound. An entry sees few of
+// the requests in a queue itself. Engines whose load is not known are kept.
+func (b *Balancer) withShortQueues(eligible []*candidate, loads map[registry.Incarnation]EngineLoad) []*candidate {
 	total, known := 0, 0
-	for _, c := range open {
+	for _, c := range eligible {
 		if l, ok := loads[c.in.Incarnation()]; ok {
 			total += l.Waiting
 			known++
 		}
 	}
 	if total == 0 {
-		return open
+		return eligible
 	}
-	bound := bounded(total, known)
-	out := b.scratch.calm[:0]
-	for _, c := range open {
+	bound := loadBound(total, known)
+	out := b.scratch.shortQueued[:0]
+	for _, c := range eligible {
 		if float64(loads[c.in.Incarnation()].Waiting+1) <= bound {
 			out = append(out, c)
 		}
 	}
-	b.scratch.calm = out
+	b.scratch.shortQueued = out
 	return out
 }
 
-// bounded is the most that one of some instances may have of a total, and one more.
-func bounded(total, instances int) float64 {
-	return loadFactor*float64(total+instances)/float64(instances) + loadSpare
+// loadBound returns the most that one of some instances may have of a total, when each gets one
+// more.
+func loadBound(total, instances int) float64 {
+	return loadFactor*float64(total+instances)/float64(instances) + loadSlack
 }
