--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -1,14 +1,12 @@
-// Package admission decides which waiting request starts next, and which is
-// refused at once.
+// Package admission decides which waiting request starts next, and which is refused at once.
 //
-// Requests wait in one queue for each team and class. Queues are served by
-// start-time fair queuing: each request costs its tokens divided by the team's
-// share, so a team that sends twenty times its share mostly waits behind itself.
-// When an entry holds as many waiting requests as it may, the newest request of
-// the queue that is longest for its share gives way.
+// Requests wait in one queue for each team and class. Queues are served by start-time fair queuing:
+// each request costs its tokens divided by the team's share, so a team that sends twenty times its
+// share mostly waits behind itself. When an entry holds the maximum of waiting requests, the newest
+// request of the queue that is longest relative to its weight is refused.
 //
-// The package is a pure state machine. A refused request is refused for good:
-// nothing is held back in the hope that it will fit later.
+// The package is a state machine that does no I/O. A refusal is final: no refused request is kept
+// in case there is room for it later.
 package admission
 
 import (
@@ -20,7 +18,7 @@
 	"github.com/shedrock/shedrock/internal/state/outcome"
 )
 
-// Class is the kind of work that a request is.
+// Class is the scheduling class of a request.
 type Class uint8
 
 // The classes of request.
@@ -29,7 +27,7 @@
 	Batch
 )
 
-// String names the class as callers and metrics do.
+// String returns the name of the class in headers and metrics.
 func (c Class) String() string {
 	if c == Batch {
 		return "batch"
@@ -48,45 +46,45 @@
 	return Interactive, false
 }
 
-// interactiveWeight is how much more of the slots an interactive queue gets than
-// a batch queue of the same team.
+// interactiveWeight is the weight of an interactive queue relative to that of a batch queue of the
+// same team.
 const interactiveWeight = 8
 
 const (
-	// drainMemory is how far back finished requests count for the drain rate.
-	drainMemory = 10 * time.Second
-	// minRetryAfter and maxRetryAfter bound what a refused caller is told.
+	// drainDecayTime is the period over which finished requests are averaged for the drain rate.
+	drainDecayTime = 10 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay in refusals.
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
 )
 
-// Input is one of Arrive, Finish, Withdraw or Resize.
+// Input is one of Arrive, Finish, Cancel or Resize.
 type Input interface{ input() }
 
-// Arrive brings a request.
+// Arrive adds a request.
 type Arrive struct {
 	ID   uint64
 	Team string
 	// Share is the team's weight, above 0.
 	Share float64
-	// MaxQueued bounds the team's waiting requests.
+	// MaxQueued bounds the number of the team's waiting requests.
 	MaxQueued int
 	Class     Class
 	// Cost is the request's size in tokens.
 	Cost float64
-	// Deadline is when the first token is of no more use; zero means never.
+	// Deadline is when the first token is of no more use; zero means none.
 	Deadline time.Time
 }
 
 // Finish says that a started request has ended.
 type Finish struct{ ID uint64 }
 
-// Cancel says that a waiting request is of no more use. For a request that is
-// not waiting it does nothing.
+// Cancel removes a waiting request that is not needed any more. It has no effect on a request that
+// is not waiting.
 type Cancel struct{ ID uint64 }
 
-// Resize sets how many requests run at once, and how many wait. Closed says that nothing can run until
-// operators change that: whoever waits, or arrives meanwhile, is refused.
+// Resize sets the maximum numbers of running and of waiting requests. Closed says that nothing can
+// run until operators change that: all requests that wait or arrive meanwhile are refused.
 type Resize struct {
 	Running, Waiting int
 	Closed           bool
@@ -100,10 +98,10 @@
 // Effect is one of Start or Refuse.
 type Effect interface{ effect() }
 
-// Start lets a request run.
+// Start starts a request.
 type Start struct{ ID uint64 }
 
-// Refuse ends a request that has not run.
+// Refuse ends a request that has not started.
 type Refuse struct {
 	ID      uint64
 	Outcome outcome.NotRun
@@ -135,21 +133,21 @@
 	finish float64
 }
 
-// Queue is the state of one entry's admission. Make one with New.
+// Queue is the admission state of one entry. Use New to make one.
 type Queue struct {
 	// running counts started requests; it may exceed maxRunning after a Resize.
 	running, maxRunning int
 	// waiting counts the requests in all flows, at most maxWaiting.
 	waiting, maxWaiting int
 	closed              bool
-	// flows holds only those with waiting requests or a finish tag ahead of
-	// virtual time.
+	// flows holds only flows with waiting requests or a finish tag ahead of the virtual time.
 	flows map[flowKey]*flow
-	// virtual is the start tag of the request started last; it never falls.
+	// virtual is the virtual time, which is the start tag of the request started last; it never
+	// decreases.
 	virtual float64
 	byID    map[uint64]*request
 	started map[uint64]bool
-	// drain is the rate of finished requests a second, as of drainAt.
+	// drain is the rate of finished requests per second at drainAt.
 	drain   float64
 	drainAt time.Time
 	effects []Effect
@@ -169,7 +167,7 @@
 // Waiting returns how many requests wait.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Step takes one input and returns its effects.
+// Step applies one input and returns its effects.
 func (q *Queue) Step(in Input, now time.Time) []Effect {
 	q.effects = nil
 	switch in := in.(type) {
@@ -178,7 +176,7 @@
 	case Finish:
 		q.finish(in, now)
 	case Cancel:
-		q.withdraw(in.ID)
+		q.cancel(in.ID)
 	case Resize:
 		q.maxRunning = in.Running
 		q.maxWaiting = in.Waiting
@@ -190,7 +188,7 @@
 	return q.effects
 }
 
-// close refuses all that wait, in their order, if nothing can run.
+// close refuses all waiting requests, in the order of their ids, if nothing can run.
 func (q *Queue) close(closed bool) {
 	q.closed = closed
 	if !closed {
@@ -208,7 +206,7 @@
 		return
 	}
 	f := q.flow(in)
-	wait := q.wait(f, now)
+	wait := q.estimateWait(f, now)
 	switch {
 	case len(f.waiting) >= in.MaxQueued:
 		q.refuse(in.ID, outcome.ReasonTeamQueueFull, wait)
@@ -217,7 +215,7 @@
 		q.refuse(in.ID, outcome.ReasonDeadline, wait)
 		return
 	case q.waiting >= q.maxWaiting && q.running >= q.maxRunning:
-		if !q.pushOut(f, now) {
+		if !q.evictLongest(f, now) {
 			q.refuse(in.ID, outcome.ReasonQueueFull, wait)
 			return
 		}
@@ -244,9 +242,9 @@
 	return f
 }
 
-// pushOut makes room by refusing the newest request of the flow that is longest
-// for its weight; it reports false when that flow is the arriving request's own.
-func (q *Queue) pushOut(arriving *flow, now time.Time) bool {
+// evictLongest makes room by refusing the newest request of the flow that is longest relative to
+// its weight. It returns false if the arriving request's own flow is, or would become, the longest.
+func (q *Queue) evictLongest(arriving *flow, now time.Time) bool {
 	var longest *flow
 	for _, f := range q.flows {
 		if len(f.waiting) == 0 {
@@ -264,13 +262,13 @@
 		return false
 	}
 	last := longest.waiting[len(longest.waiting)-1]
-	wait := q.wait(longest, now)
+	wait := q.estimateWait(longest, now)
 	q.remove(last)
 	q.refuse(last.id, outcome.ReasonQueueFull, wait)
 	return true
 }
 
-// longer orders flows by their length for their weight; equal ones by name, so
+// longer orders flows by their length relative to their weight; equal ones by team and class, so
 // that the choice does not depend on the order of a map.
 func longer(a, b *flow) bool {
 	la, lb := float64(len(a.waiting))/a.weight, float64(len(b.waiting))/b.weight
@@ -285,15 +283,15 @@
 	q.effects = append(q.effects, Refuse{ID: id, Outcome: outcome.NotRun{RetryAfter: after, Reason: reason}})
 }
 
-// wait estimates how long a new request of a flow would wait, from the measured
-// drain rate and the flow's fair part of it.
-func (q *Queue) wait(f *flow, now time.Time) time.Duration {
+// estimateWait estimates how long a new request of a flow would wait, from the drain rate and the
+// flow's fair share of it.
+func (q *Queue) estimateWait(f *flow, now time.Time) time.Duration {
 	if q.running < q.maxRunning && q.waiting == 0 {
 		return 0
 	}
 	rate := q.drainRate(now)
 	if rate <= 0 {
-		// Nothing has finished lately: there is no honest estimate.
+		// Nothing has finished lately, so there is no basis for an estimate.
 		return 0
 	}
 	all := float64(q.waiting+1) / rate
@@ -307,10 +305,10 @@
 	return time.Duration(min(all, own) * float64(time.Second))
 }
 
-// drainRate is the rate of finished requests, which fades while none finishes.
+// drainRate is the rate of finished requests per second; it decays while none finishes.
 func (q *Queue) drainRate(now time.Time) float64 {
-	fade := math.Exp(-now.Sub(q.drainAt).Seconds() / drainMemory.Seconds())
-	return q.drain * fade
+	decay := math.Exp(-now.Sub(q.drainAt).Seconds() / drainDecayTime.Seconds())
+	return q.drain * decay
 }
 
 func (q *Queue) finish(in Finish, now time.Time) {
@@ -319,18 +317,18 @@
 	}
 	delete(q.started, in.ID)
 	q.running--
-	q.drain = q.drainRate(now) + 1/drainMemory.Seconds()
+	q.drain = q.drainRate(now) + 1/drainDecayTime.Seconds()
 	q.drainAt = now
 }
 
-func (q *Queue) withdraw(id uint64) {
+func (q *Queue) cancel(id uint64) {
 	r, ok := q.byID[id]
 	if ok {
 		q.remove(r)
 	}
 }
 
-// remove takes a waiting request out of its flow.
+// remove removes a waiting request from its flow.
 func (q *Queue) remove(r *request) {
 	f := r.flow
 	for i, other := range f.waiting {
@@ -341,11 +339,12 @@
 	}
 	delete(q.byID, r.id)
 	q.waiting--
-	q.tidy(f)
+	q.removeIfIdle(f)
 }
 
-// tidy forgets a flow that has nothing waiting and no debt.
-func (q *Queue) tidy(f *flow) {
+// removeIfIdle removes a flow without waiting requests whose finish tag is not ahead of the virtual
+// time.
+func (q *Queue) removeIfIdle(f *flow) {
 	if len(f.waiting) == 0 && f.finish <= q.virtual {
 		delete(q.flows, f.key)
 	}
@@ -356,7 +355,7 @@
 		r := q.next()
 		q.remove(r)
 		if !r.deadline.IsZero() && now.After(r.deadline) {
-			q.refuse(r.id, outcome.ReasonDeadline, q.wait(r.flow, now))
+			q.refuse(r.id, outcome.ReasonDeadline, q.estimateWait(r.flow, now))
 			continue
 		}
 		q.virtual = max(q.virtual, r.start)
@@ -366,8 +365,8 @@
 	}
 }
 
-// next returns the waiting request with the smallest start tag; equal ones by
-// id, which is the order of arrival.
+// next returns the waiting request with the smallest start tag, and of equal ones that with the
+// smallest id, which arrived first.
 func (q *Queue) next() *request {
 	var best *request
 	for _, f := range q.flows {
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -18,8 +18,9 @@
 	return admission.Arrive{ID: id, Team: team, Share: 1, MaxQueued: 1000, Cost: 100}
 }
 
-// started runs n finishes and returns the teams in the order in which they started.
-func started(q *admission.Queue, team map[uint64]string, running []uint64, n int) []string {
+// finishAndCollect finishes n requests and returns the teams of the requests started by that, in
+// order.
+func finishAndCollect(q *admission.Queue, team map[uint64]string, running []uint64, n int) []string {
 	var order []string
 	now := start
 	for range n {
@@ -36,8 +37,8 @@
 	return order
 }
 
-// TestTeamsShareFairly has one team send twenty times what the others do: the others
-// start as often as it does while they have anything waiting.
+// One team sends twenty times as many requests as the others. As long as the others have waiting
+// requests, they must start as often as it does.
 func TestTeamsShareFairly(t *testing.T) {
 	q := admission.New(2, 1000)
 	team := map[uint64]string{}
@@ -58,7 +59,7 @@
 	put("small", 10)
 	put("other", 10)
 	counts := map[string]int{}
-	for _, name := range started(q, team, running, 30) {
+	for _, name := range finishAndCollect(q, team, running, 30) {
 		counts[name]++
 	}
 	if diff := cmp.Diff(map[string]int{"greedy": 10, "small": 10, "other": 10}, counts); diff != "" {
@@ -66,7 +67,7 @@
 	}
 }
 
-// TestInteractiveGoesFirst lets a team's own batch work wait behind its callers.
+// A team's batch requests must wait behind its interactive ones.
 func TestInteractiveGoesFirst(t *testing.T) {
 	q := admission.New(1, 100)
 	q.Step(arrive(1, "a"), start)
@@ -102,19 +103,19 @@
 	refused := func(id uint64, reason outcome.Reason, after time.Duration) []admission.Effect {
 		return []admission.Effect{admission.Refuse{ID: id, Outcome: outcome.NotRun{RetryAfter: after, Reason: reason}}}
 	}
-	t.Run("the queue is full, and the sender is its longest part", func(t *testing.T) {
+	t.Run("the queue is full, and its longest flow is that of the request", func(t *testing.T) {
 		q, in := full(100)
 		if diff := cmp.Diff(refused(10, outcome.ReasonQueueFull, time.Second), q.Step(in, start)); diff != "" {
 			t.Fatal(diff)
 		}
 	})
-	t.Run("the team's bound", func(t *testing.T) {
+	t.Run("the team's queue is full", func(t *testing.T) {
 		q, in := full(2)
 		if diff := cmp.Diff(refused(10, outcome.ReasonTeamQueueFull, time.Second), q.Step(in, start)); diff != "" {
 			t.Fatal(diff)
 		}
 	})
-	t.Run("another team pushes the longest part's newest out", func(t *testing.T) {
+	t.Run("another team evicts the newest request of the longest flow", func(t *testing.T) {
 		q, _ := full(100)
 		if diff := cmp.Diff(refused(4, outcome.ReasonQueueFull, time.Second), q.Step(arrive(11, "small"), start)); diff != "" {
 			t.Fatal(diff)
@@ -123,7 +124,7 @@
 			t.Fatalf("%d wait", q.Waiting())
 		}
 	})
-	t.Run("the deadline cannot be met, and the answer is honest", func(t *testing.T) {
+	t.Run("the deadline cannot be met, and RetryAfter is the estimated wait", func(t *testing.T) {
 		q := admission.New(1, 100)
 		now := start
 		for id := uint64(1); id <= 30; id++ {
@@ -140,15 +141,15 @@
 		if !ok || r.Outcome.Reason != outcome.ReasonDeadline {
 			t.Fatalf("%+v", effects)
 		}
-		// Ten wait and one finishes a second, so about ten seconds.
+		// Ten requests wait and one finishes per second, so the wait is about ten seconds.
 		if after := r.Outcome.RetryAfter; after < 8*time.Second || after > 14*time.Second {
 			t.Fatalf("Retry-After %v", after)
 		}
 	})
 }
 
-// TestEveryRequestEndsOnce checks, over random inputs, that each request has one
-// effect or is withdrawn, and that no more run than may.
+// Over random inputs, each request must be started, refused or canceled once, and the maximum
+// numbers of running and waiting requests must hold.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := admission.New(3, 8)
@@ -188,11 +189,11 @@
 				note(q.Step(admission.Finish{ID: running[0]}, now))
 				running = running[1:]
 			}
-			if rapid.IntRange(0, 5).Draw(t, "withdraw") == 0 {
+			if rapid.IntRange(0, 5).Draw(t, "cancel") == 0 {
 				victim := waiting[rapid.IntRange(0, len(waiting)-1).Draw(t, "victim")]
 				note(q.Step(admission.Cancel{ID: victim}, now))
 				if ended[victim] == "" {
-					ended[victim] = "withdrawn"
+					ended[victim] = "canceled"
 				}
 			}
 			if q.Running() > 3 || q.Waiting() > 8 || q.Running() != len(running) {
@@ -211,8 +212,8 @@
 	})
 }
 
-// When nothing can run any more, those who wait and those who come are told at once; when it can
-// again, they are served.
+// When nothing can run any more, waiting and arriving requests must be refused at once; when
+// requests can run again, they must be served.
 func TestClosedQueueRefusesAtOnce(t *testing.T) {
 	q := admission.New(1, 10)
 	at := time.Unix(0, 0)
--- a/internal/coordination/admission/fairness_test.go
+++ b/internal/coordination/admission/fairness_test.go
@@ -11,10 +11,10 @@
 	"github.com/shedrock/shedrock/internal/coordination/admission"
 )
 
-// event is something that happens at a time in the model of one entry.
+// event is a finished or arriving request in the simulation of one entry.
 type event struct {
 	at time.Time
-	// finish is the id of the request that ends, or 0 for an arrival of team.
+	// finish is the id of the request that ends, or 0 for a request of team that arrives.
 	finish uint64
 	team   int
 }
@@ -32,11 +32,11 @@
 	return v
 }
 
-// waits runs ten teams against 32 slots of a second each for ten minutes; team 0
-// sends greedy times what each other does. It returns the 95th of the others' waits,
-// those refused among them counted as a minute. With alone set all requests belong to
-// one team, which is a queue in the order of arrival.
-func waits(greedy float64, alone bool) time.Duration {
+// waits simulates ten minutes of ten teams that share 32 slots, with requests of a second on
+// average; team 0 sends factor times as many requests as each other team. It returns the 95th
+// percentile of the other teams' waits, where a refused request counts as a minute. With singleTeam
+// all requests belong to one team, and so are served in the order of arrival.
+func waits(factor float64, singleTeam bool) time.Duration {
 	const slots, teams, each, minutes = 32, 10, 1.0, 10
 	random := rand.New(rand.NewPCG(7, 7))
 	q := admission.New(slots, 1024)
@@ -44,7 +44,7 @@
 	next := func(team int, at time.Time) {
 		rate := each
 		if team == 0 {
-			rate *= greedy
+			rate *= factor
 		}
 		heap.Push(pending, event{at: at.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second))), team: team})
 	}
@@ -68,7 +68,7 @@
 			id++
 			arrived[id] = e
 			name := fmt.Sprint("team-", e.team)
-			if alone {
+			if singleTeam {
 				name = "all"
 			}
 			in := arrive(id, name)
@@ -94,12 +94,12 @@
 	return others[len(others)*95/100]
 }
 
-// TestGreedyTeamBarelyDelaysOthers measures the others' waits when one team sends what
-// they do, twenty and forty times it, and in a queue in the order of arrival.
-func TestGreedyTeamBarelyDelaysOthers(t *testing.T) {
+// Measures the waits of other teams when one team sends as many requests as each of them, twenty
+// and forty times as many, and when requests are served in the order of arrival.
+func TestOverloadingTeamBarelyDelaysOthers(t *testing.T) {
 	calm, twenty, forty, byArrival := waits(1, false), waits(20, false), waits(40, false), waits(40, true)
-	t.Logf("95th of the others' waits: calm %v, greedy 20 times %v, 40 times %v; 40 times in the order of arrival %v", calm, twenty, forty, byArrival)
+	t.Logf("95th percentile of the other teams' waits: equal load %v, 20 times %v, 40 times %v; 40 times in the order of arrival %v", calm, twenty, forty, byArrival)
 	if forty > 300*time.Millisecond || byArrival < 10*forty {
-		t.Fatalf("calm %v, 20 times %v, 40 times %v, in the order of arrival %v", calm, twenty, forty, byArrival)
+		t.Fatalf("equal load %v, 20 times %v, 40 times %v, in the order of arrival %v", calm, twenty, forty, byArrival)
 	}
 }
