--- a/internal/coordination/replication/election.go
+++ b/internal/coordination/replication/election.go
@@ -1,17 +1,19 @@
 package replication
 
-// resetTimer waits for a leader, or for votes.
+// resetTimer restarts the election timer. A replica that has not known a leader since its
+// start gets the shorter startup timeout, unless it is a candidate.
 func (m *Machine) resetTimer() {
 	m.elapsed = 0
-	if !m.met && m.role != candidate {
-		m.timeout = startTicks + m.random.IntN(startSpread+1)
+	if !m.hadLeader && m.role != candidate {
+		m.timeout = startupElectionTicks + m.random.IntN(startupElectionSpread+1)
 		return
 	}
-	m.waitForVotes()
+	m.resetFullTimer()
 }
 
-// waitForVotes gives a candidate, this one or one that has this one's vote, its time.
-func (m *Machine) waitForVotes() {
+// resetFullTimer restarts the election timer with the regular timeout, which gives a
+// candidate, this replica or the one that it voted for, time to collect votes.
+func (m *Machine) resetFullTimer() {
 	m.elapsed = 0
 	m.timeout = ElectionTicks + m.random.IntN(ElectionTicks+1)
 }
@@ -27,7 +29,7 @@
 	}
 	m.become(r, "")
 	m.votes = map[Node]bool{m.self: true}
-	if m.won() {
+	if m.checkVotes() {
 		return
 	}
 	index, logTerm := m.log.last()
@@ -38,8 +40,9 @@
 	}
 }
 
-// won moves on when the votes are a majority.
-func (m *Machine) won() bool {
+// checkVotes proceeds from pre-candidate to candidate, or from candidate to leader, if the
+// votes are a majority, and reports whether they are.
+func (m *Machine) checkVotes() bool {
 	if !majority(m.configs.current(), func(n Node) bool { return m.votes[n] }) {
 		return false
 	}
@@ -47,6 +50,6 @@
 		m.campaign(candidate)
 		return true
 	}
-	m.lead()
+	m.becomeLeader()
 	return true
 }
--- a/internal/coordination/replication/exchange.go
+++ b/internal/coordination/replication/exchange.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// snapshotRetryTicks is how long a sent snapshot may take before another is sent.
+// snapshotRetryTicks is the time after which a snapshot that was not acknowledged is sent
+// again.
 const snapshotRetryTicks = 10 * ElectionTicks
 
 func (m *Machine) receive(msg Message) {
@@ -29,21 +30,21 @@
 	}
 }
 
-// hearsLeader reports whether a leader was heard so lately that an election is
-// not called for. It keeps a replica that was cut off, or was removed, from
-// deposing a leader that the rest still hears.
-func (m *Machine) hearsLeader() bool {
+// hasActiveLeader reports whether this replica received a message from a leader within
+// the minimum election timeout. It then grants no votes, so that a replica that was
+// partitioned or removed cannot depose a leader that the others still follow.
+func (m *Machine) hasActiveLeader() bool {
 	return m.leader != "" && m.elapsed < ElectionTicks
 }
 
-// upToDate reports whether a candidate's log holds at least what this one does.
+// upToDate reports whether a candidate's log is at least as up-to-date as this one.
 func (m *Machine) upToDate(msg Message) bool {
 	index, term := m.log.last()
 	return msg.LogTerm > term || msg.LogTerm == term && msg.LogIndex >= index
 }
 
 func (m *Machine) receivePreVote(msg Message) {
-	grant := msg.Term > m.term && m.upToDate(msg) && !m.hearsLeader()
+	grant := msg.Term > m.term && m.upToDate(msg) && !m.hasActiveLeader()
 	reply := Message{Kind: PreVoteReply, To: msg.From, Term: msg.Term, Reject: !grant}
 	if !grant {
 		reply.Term = m.term
@@ -53,25 +54,25 @@
 
 func (m *Machine) receivePreVoteReply(msg Message) {
 	if msg.Reject {
-		m.stepUp(msg)
+		m.adoptHigherTerm(msg)
 		return
 	}
 	if m.role != preCandidate || msg.Term != m.term+1 {
 		return
 	}
 	m.votes[msg.From] = true
-	m.won()
+	m.checkVotes()
 }
 
-// stepUp follows a rejection that carries a higher term.
-func (m *Machine) stepUp(msg Message) {
+// adoptHigherTerm enters the term of a rejection if it is higher.
+func (m *Machine) adoptHigherTerm(msg Message) {
 	if msg.Term > m.term {
 		m.enterTerm(msg.Term, "")
 	}
 }
 
 func (m *Machine) receiveVote(msg Message) {
-	if msg.Term > m.term && m.hearsLeader() {
+	if msg.Term > m.term && m.hasActiveLeader() {
 		return
 	}
 	if msg.Term > m.term {
@@ -82,26 +83,26 @@
 	if grant {
 		m.vote = msg.From
 		m.dirty = true
-		m.waitForVotes()
+		m.resetFullTimer()
 	}
 	m.send(Message{Kind: VoteReply, To: msg.From, Reject: !grant})
 }
 
 func (m *Machine) receiveVoteReply(msg Message) {
 	if msg.Term > m.term {
-		m.stepUp(msg)
+		m.adoptHigherTerm(msg)
 		return
 	}
 	if m.role != candidate || msg.Term != m.term || msg.Reject {
 		return
 	}
 	m.votes[msg.From] = true
-	m.won()
+	m.checkVotes()
 }
 
-// follow takes a message of a leader; it reports false when the leader's term
-// has passed.
-func (m *Machine) follow(msg Message) bool {
+// followLeader makes this replica a follower of the sender of a leader's message. It
+// rejects the message and returns false if the term is outdated.
+func (m *Machine) followLeader(msg Message) bool {
 	if msg.Term < m.term {
 		m.send(Message{Kind: AppendReply, To: msg.From, Reject: true})
 		return false
@@ -117,12 +118,12 @@
 }
 
 func (m *Machine) receiveAppend(msg Message) {
-	if !m.follow(msg) {
+	if !m.followLeader(msg) {
 		return
 	}
 	reply := Message{Kind: AppendReply, To: msg.From, Round: msg.Round}
 	if msg.LogIndex < m.log.snapshot.Index {
-		// Everything up to the snapshot is committed and therefore matches.
+		// Everything up to the snapshot is committed and therefore matches the leader's log.
 		msg = skipCompacted(msg, m.log.snapshot)
 	}
 	term, ok := m.log.term(msg.LogIndex)
@@ -133,14 +134,14 @@
 		m.send(reply)
 		return
 	}
-	m.takeEntries(msg.Entries)
+	m.mergeEntries(msg.Entries)
 	matched := msg.LogIndex + uint64(len(msg.Entries))
 	m.commit = max(m.commit, min(msg.Commit, matched))
 	reply.LogIndex = matched
 	m.send(reply)
 }
 
-// skipCompacted drops the entries that the snapshot already stands for.
+// skipCompacted drops the entries that the snapshot already covers.
 func skipCompacted(msg Message, s Snapshot) Message {
 	skip := min(s.Index-msg.LogIndex, uint64(len(msg.Entries)))
 	msg.Entries = msg.Entries[skip:]
@@ -149,9 +150,9 @@
 	return msg
 }
 
-// takeEntries stores what is not here yet; an entry that conflicts replaces all
-// from there on.
-func (m *Machine) takeEntries(entries []Entry) {
+// mergeEntries stores the entries that are not in the log yet. An entry that conflicts
+// with the log replaces the log from its index on.
+func (m *Machine) mergeEntries(entries []Entry) {
 	for i, e := range entries {
 		term, ok := m.log.term(e.Index)
 		if ok && term == e.Term {
@@ -160,7 +161,7 @@
 		if e.Index <= m.commit {
 			panic("replication: a leader would replace a committed entry")
 		}
-		m.put(slices.Clone(entries[i:]))
+		m.truncateAndAppend(slices.Clone(entries[i:]))
 		return
 	}
 }
@@ -174,8 +175,8 @@
 	if m.role != leader || msg.Term != m.term || p == nil {
 		return
 	}
-	p.heard = true
-	p.silent = 0
+	p.recentlyActive = true
+	p.silentTicks = 0
 	p.snapshotLost = false
 	if msg.Round > p.round {
 		p.round = msg.Round
@@ -183,8 +184,8 @@
 	}
 	if msg.Reject {
 		p.next = max(p.match, min(p.next-1, msg.Hint)) + 1
-		p.from = p.next
-		// While a snapshot is on its way the member rejects everything else.
+		p.firstSent = p.next
+		// While a snapshot is in flight the member rejects all append requests.
 		if p.snapshotTicks == 0 {
 			m.sendEntries(msg.From, p)
 		}
@@ -194,7 +195,7 @@
 		p.match = msg.LogIndex
 		p.next = max(p.next, p.match+1)
 		p.snapshotTicks = 0
-		m.advance()
+		m.advanceCommit()
 	}
 	last, _ := m.log.last()
 	if m.role == leader && p.next <= last && m.hasRoom(p) {
@@ -203,20 +204,20 @@
 }
 
 func (m *Machine) receiveSnapshot(msg Message) {
-	if msg.Snapshot == nil || !m.follow(msg) {
+	if msg.Snapshot == nil || !m.followLeader(msg) {
 		return
 	}
 	s := *msg.Snapshot
 	reply := Message{Kind: AppendReply, To: msg.From, LogIndex: s.Index, Round: msg.Round}
 	if s.Index <= m.commit {
-		// Already here: acknowledge what is known to match.
+		// The log already covers the snapshot: acknowledge the committed entries.
 		reply.LogIndex = m.commit
 		m.send(reply)
 		return
 	}
 	if term, ok := m.log.term(s.Index); ok && term == s.Term {
-		// The log holds the entry, and may hold acknowledged ones behind it, which
-		// a snapshot that comes late must not take away.
+		// The log has the entry, and may have acknowledged ones after it, which a
+		// delayed snapshot must not discard.
 		m.commit = s.Index
 		m.send(reply)
 		return
@@ -235,7 +236,7 @@
 	m.send(reply)
 }
 
-// broadcast sends new entries to every member that has room for them.
+// broadcast sends new entries to every member whose in-flight limits allow it.
 func (m *Machine) broadcast() {
 	for _, other := range m.configs.current() {
 		p := m.others[other.Node]
@@ -243,17 +244,18 @@
 			m.sendEntries(other.Node, p)
 		}
 	}
-	m.advance()
+	m.advanceCommit()
 }
 
-// hasRoom reports whether a member may be sent more before it acknowledges what it was
-// sent.
+// hasRoom reports whether the unacknowledged entries of a member are below the in-flight
+// limits.
 func (m *Machine) hasRoom(p *progress) bool {
 	first := p.unacknowledged()
 	return p.next-first < maxInFlight && m.log.bytes(first, p.next) < maxInFlightBytes
 }
 
-// broadcastCommit tells members that have nothing to receive about the commit.
+// broadcastCommit sends the commit index to all members, also to those without new
+// entries to receive.
 func (m *Machine) broadcastCommit() {
 	for _, other := range m.configs.current() {
 		p := m.others[other.Node]
@@ -263,8 +265,8 @@
 	}
 }
 
-// heartbeat opens a new round. A member that made no headway since the last one
-// may have lost a message, and is sent again what it has not acknowledged.
+// heartbeat starts a new round. If a member's match index has not advanced since the last
+// heartbeat, a message may have been lost, and the unacknowledged entries are sent again.
 func (m *Machine) heartbeat() {
 	m.round++
 	for _, other := range m.configs.current() {
@@ -272,10 +274,10 @@
 		if p == nil {
 			continue
 		}
-		if p.match == p.matchAtBeat {
-			p.resend()
+		if p.match == p.matchAtHeartbeat {
+			p.rewind()
 		}
-		p.matchAtBeat = p.match
+		p.matchAtHeartbeat = p.match
 		m.sendEntries(other.Node, p)
 	}
 }
@@ -295,16 +297,16 @@
 	m.send(Message{Kind: AppendRequest, To: to, LogIndex: before, LogTerm: term, Commit: m.commit, Round: m.round, Entries: entries})
 }
 
-// sendSnapshot sends a snapshot to a member that answers. To make one costs the shell
-// time and memory by the size of the state, so a member that is gone gets none: it would
-// be lost, and the next one would wait for snapshotRetryTicks after the return.
+// sendSnapshot sends a snapshot, but only to a member that replies. Creating one costs the
+// caller time and memory in proportion to the state. A snapshot to an unresponsive member
+// would be lost, and after its return the next one would be delayed by snapshotRetryTicks.
 func (m *Machine) sendSnapshot(to Node, p *progress) {
-	gone := p.silent > ElectionTicks
-	if gone {
+	unresponsive := p.silentTicks > ElectionTicks
+	if unresponsive {
 		p.snapshotTicks = 0
 	}
-	if gone || p.snapshotLost || p.snapshotTicks > 0 {
-		// A bare message keeps the follower from an election.
+	if unresponsive || p.snapshotLost || p.snapshotTicks > 0 {
+		// A message without entries keeps the follower from starting an election.
 		m.send(Message{Kind: AppendRequest, To: to, LogIndex: m.log.snapshot.Index, LogTerm: m.log.snapshot.Term, Round: m.round})
 		return
 	}
@@ -313,10 +315,10 @@
 	m.send(Message{Kind: SnapshotRequest, To: to, Round: m.round, Snapshot: &s})
 }
 
-// undelivered lets a snapshot be sent again that did not arrive, as to a member that has just
-// started and did not listen yet. The next one follows an answer: made before, it would be lost too,
-// or arrive without what was committed meanwhile.
-func (m *Machine) undelivered(to Node) {
+// snapshotFailed allows another snapshot after one was not delivered, for example to a member that
+// has just started and did not listen yet. The next one is sent only after the member replies: an
+// earlier one would be lost too, or would lack the entries that were committed in the meantime.
+func (m *Machine) snapshotFailed(to Node) {
 	if p := m.others[to]; p != nil {
 		p.snapshotTicks = 0
 		p.snapshotLost = true
@@ -328,8 +330,8 @@
 		m.emit(Refused{ID: id, Leader: m.leader})
 		return
 	}
-	// The next round is opened after this read arrived, so its answers prove that
-	// no other leader had committed anything before.
+	// The next round starts after this read arrived, so its replies prove that no other
+	// leader had committed anything before the read.
 	m.reads = append(m.reads, pendingRead{id: id, index: m.commit, round: m.round + 1})
 	if len(m.reads) == 1 {
 		m.heartbeat()
@@ -337,7 +339,7 @@
 	m.releaseReads()
 }
 
-// releaseReads answers the reads whose round a majority has answered.
+// releaseReads emits ReadReady for the reads whose round a majority has acknowledged.
 func (m *Machine) releaseReads() {
 	if m.role != leader {
 		return
--- a/internal/coordination/replication/kill_test.go
+++ b/internal/coordination/replication/kill_test.go
@@ -9,21 +9,21 @@
 	"github.com/shedrock/shedrock/internal/coordination/replication"
 )
 
-// killed says at which step of a write a replica is killed.
-type killed int
+// killPoint is the point of a write at which a replica is killed.
+type killPoint int
 
 const (
-	killedBeforeSync killed = iota
+	killedBeforeSync killPoint = iota
 	killedAfterSync
 	killedAfterAnswer
 )
 
-// TestKillAtEachStepOfAWrite kills the leader or a follower before it has synced a
-// write, after the sync before it says so, and after the write was answered; or the
-// leader together with a follower. The rest goes on by itself where it is a majority, an
-// answered write stays, and all agree when the killed are back.
+// TestKillAtEachStepOfAWrite kills the leader, a follower, or both: before they sync a
+// write, after the sync but before they acknowledge it, and after the write was answered.
+// The remaining replicas must continue if they are a majority, an answered write must not
+// be lost, and all replicas must agree after a restart of those that were killed.
 func TestKillAtEachStepOfAWrite(t *testing.T) {
-	steps := map[killed]string{killedBeforeSync: "before the sync", killedAfterSync: "after the sync", killedAfterAnswer: "after the answer"}
+	steps := map[killPoint]string{killedBeforeSync: "before the sync", killedAfterSync: "after the sync", killedAfterAnswer: "after the answer"}
 	for _, voters := range []int{3, 5} {
 		for at, step := range steps {
 			for _, who := range []string{"leader", "follower", "both"} {
@@ -33,7 +33,7 @@
 	}
 }
 
-func killInWrite(t *testing.T, voters int, who string, at killed) {
+func killInWrite(t *testing.T, voters int, who string, at killPoint) {
 	n, leader := newSettled(t, voters)
 	var follower replication.Node
 	for _, node := range n.order {
@@ -49,13 +49,13 @@
 		leaderCrash = noCrash
 	}
 	n.messages = nil
-	// A leader may send a write while it still syncs it: the follower may have it alone.
+	// A leader may send a write before it has synced it, so only the follower may have it.
 	n.step(leader, replication.Propose{Commands: []replication.Command{{ID: 1, Data: []byte("write")}}}, leaderCrash)
 	n.deliverTo(follower, followerCrash)
 	if at == killedAfterAnswer {
-		n.settle(1, everyone)
+		n.settle(1, allReplicas)
 	}
-	answered := n.holds("write")
+	answered := n.isCommitted("write")
 	if at == killedAfterAnswer && !answered {
 		t.Fatal("the write was not answered")
 	}
@@ -66,26 +66,26 @@
 	n.settle(rounds, without(dead...))
 	next, leads := n.leader(without(dead...))
 	if majority := voters-len(dead) > voters/2; leads != majority {
-		t.Fatalf("with %d of %d alive, somebody leads: %v", voters-len(dead), voters, leads)
+		t.Fatalf("with %d of %d voters alive: leader elected: %v", voters-len(dead), voters, leads)
 	}
 	if leads {
 		n.propose(next, "next")
 		n.settle(rounds, without(dead...))
-		if !n.holds("next") {
-			t.Fatal("the rest does not go on")
+		if !n.isCommitted("next") {
+			t.Fatal("the remaining majority does not commit")
 		}
 	}
 	for _, node := range dead {
 		n.restart(node)
 	}
-	n.settle(2*rounds, everyone)
-	last, ok := n.leader(everyone)
+	n.settle(2*rounds, allReplicas)
+	last, ok := n.leader(allReplicas)
 	if !ok {
-		t.Fatal("nobody leads after the restart")
+		t.Fatal("no leader after the restart")
 	}
 	n.propose(last, "last")
-	n.settle(rounds, everyone)
-	if answered && !n.holds("write") {
+	n.settle(rounds, allReplicas)
+	if answered && !n.isCommitted("write") {
 		t.Fatal("an answered write is lost")
 	}
 	for _, node := range n.order {
@@ -95,11 +95,11 @@
 	}
 }
 
-func crashOf(at killed) crash {
-	return map[killed]crash{killedBeforeSync: beforeSync, killedAfterSync: afterSync, killedAfterAnswer: noCrash}[at]
+func crashOf(at killPoint) crash {
+	return map[killPoint]crash{killedBeforeSync: beforeSync, killedAfterSync: afterSync, killedAfterAnswer: noCrash}[at]
 }
 
-// deliverTo delivers what waits for one replica.
+// deliverTo delivers the pending messages to one replica.
 func (n *network) deliverTo(node replication.Node, at crash) {
 	for i := 0; i < len(n.messages); i++ {
 		if n.messages[i].To == node {
@@ -109,10 +109,11 @@
 	}
 }
 
-// TestAnswerRestsOnSyncedCopies kills a follower over a write that it alone has beside
-// the leader, and then the leader: what was answered must be in the follower's log.
+// TestAnswerRestsOnSyncedCopies replicates a write to one follower only, kills the follower at
+// each point of it, and then the leader. The write must be answered only if the follower has
+// synced it, and an answered write must be in the new leader's log.
 func TestAnswerRestsOnSyncedCopies(t *testing.T) {
-	for _, at := range []killed{killedBeforeSync, killedAfterSync, killedAfterAnswer} {
+	for _, at := range []killPoint{killedBeforeSync, killedAfterSync, killedAfterAnswer} {
 		n, leader := newSettled(t, 3)
 		follower := n.order[0]
 		if follower == leader {
@@ -123,15 +124,15 @@
 		n.deliverTo(follower, crashOf(at))
 		n.deliverTo(leader, noCrash)
 		n.messages = nil
-		if answered := n.holds("write"); answered != (at == killedAfterAnswer) {
-			t.Fatalf("step %d: answered %v", at, answered)
+		if answered := n.isCommitted("write"); answered != (at == killedAfterAnswer) {
+			t.Fatalf("kill point %d: answered %v", at, answered)
 		}
 		n.replicas[leader].up = false
 		n.restart(follower)
 		n.settle(2*rounds, without(leader))
 		if _, ok := n.leader(without(leader)); !ok {
-			t.Fatalf("step %d: nobody leads", at)
+			t.Fatalf("kill point %d: no leader", at)
 		}
-		// That the new leader holds what was committed is checked as it begins to lead.
+		// checkLeader has checked that the new leader has the committed entries.
 	}
 }
--- a/internal/coordination/replication/leader.go
+++ b/internal/coordination/replication/leader.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-func (m *Machine) lead() {
+func (m *Machine) becomeLeader() {
 	m.become(leader, m.self)
 	m.others = map[Node]*progress{}
 	m.elapsed = 0
-	m.beat = 0
+	m.heartbeatElapsed = 0
 	m.trackMembers()
 	last, _ := m.log.last()
 	m.termStart = last + 1
@@ -14,14 +14,14 @@
 	m.broadcast()
 }
 
-// trackMembers makes the progress of others agree with the configuration.
+// trackMembers adds and removes progress records to match the current configuration.
 func (m *Machine) trackMembers() {
 	last, _ := m.log.last()
 	present := map[Node]bool{}
 	for _, other := range m.configs.current() {
 		present[other.Node] = true
 		if other.Node != m.self && m.others[other.Node] == nil {
-			m.others[other.Node] = &progress{next: last + 1, from: last + 1, heard: true}
+			m.others[other.Node] = &progress{next: last + 1, firstSent: last + 1, recentlyActive: true}
 		}
 	}
 	for n := range m.others {
@@ -35,7 +35,7 @@
 	last, _ := m.log.last()
 	e.Index = last + 1
 	e.Term = m.term
-	m.put([]Entry{e})
+	m.truncateAndAppend([]Entry{e})
 	return e.Index
 }
 
@@ -73,21 +73,22 @@
 	}
 	m.synced = in.Index
 	if m.role == leader {
-		m.advance()
+		m.advanceCommit()
 	}
 }
 
 func (m *Machine) compacted(index uint64) {
 	if index > m.applied {
-		panic("replication: a snapshot beyond the applied entries")
+		panic("replication: snapshot index beyond the applied entries")
 	}
 	m.log.compact(index, m.configs.at(index))
 	m.configs = m.configs.compact(index)
 }
 
-// advance commits what a majority of voters holds durably, if it is of this
-// term: an entry of an earlier term commits only beneath one of this term.
-func (m *Machine) advance() {
+// advanceCommit moves the commit index to the highest entry that is durable on a majority
+// of voters, if that entry is of the current term. Entries of earlier terms are committed
+// only together with a later one of the current term.
+func (m *Machine) advanceCommit() {
 	var matched []uint64
 	for _, member := range m.configs.current() {
 		if member.Voter {
@@ -98,20 +99,20 @@
 		return
 	}
 	slices.Sort(matched)
-	// The voters above the middle, and the one in it, are a majority:
-	// of [3 7 9] two hold 7, of [3 5 7 9] three hold 5.
-	held := matched[(len(matched)-1)/2]
-	term, ok := m.log.term(held)
-	if held > m.commit && ok && term == m.term {
-		m.commit = held
-		m.committed()
+	// A majority of the voters has at least the value at this position:
+	// of [3 7 9] two have 7, of [3 5 7 9] three have 5.
+	quorumIndex := matched[(len(matched)-1)/2]
+	term, ok := m.log.term(quorumIndex)
+	if quorumIndex > m.commit && ok && term == m.term {
+		m.commit = quorumIndex
+		m.commitAdvanced()
 	}
 }
 
-// committed follows a rise of the commit index on the leader.
-func (m *Machine) committed() {
+// commitAdvanced is called on the leader after its commit index has increased.
+func (m *Machine) commitAdvanced() {
 	if !isVoter(m.configs.current(), m.self) && m.MembersCommitted() {
-		// A leader that a committed change has removed hands over.
+		// A leader that a committed configuration change has removed steps down.
 		m.become(follower, "")
 		return
 	}
--- a/internal/coordination/replication/log.go
+++ b/internal/coordination/replication/log.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// entryLog is the part of the log that is not yet in the snapshot.
+// entryLog is the part of the log after the snapshot.
 //
 // Invariant: entries[i].Index == snapshot.Index+1+i.
 type entryLog struct {
@@ -18,7 +18,8 @@
 	return e.Index, e.Term
 }
 
-// term returns the term of an entry; ok is false when the entry is not here.
+// term returns the term of an entry. ok is false when the entry is compacted, or beyond the
+// end of the log.
 func (l *entryLog) term(index uint64) (term uint64, ok bool) {
 	if index == l.snapshot.Index {
 		return l.snapshot.Term, true
@@ -30,8 +31,8 @@
 	return l.entries[index-l.snapshot.Index-1].Term, true
 }
 
-// from returns the entries from an index on, up to a number of bytes but at
-// least one.
+// from returns the entries from an index on, limited to maxBytes of data but at least one
+// entry if there is any.
 func (l *entryLog) from(index uint64, maxBytes int) []Entry {
 	last, _ := l.last()
 	if index > last {
@@ -48,7 +49,7 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// bytes returns the size of the data of the entries in [low, high) that are here.
+// bytes returns the size of the data of the entries in [low, high) that are not compacted.
 func (l *entryLog) bytes(low, high uint64) int {
 	size := 0
 	for i := max(low, l.snapshot.Index+1); i < high; i++ {
@@ -57,9 +58,10 @@
 	return size
 }
 
-// behind returns the lowest index after which the entries up to high are at most so many,
-// and their data at most so many bytes or one entry's.
-func (l *entryLog) behind(high uint64, entries, bytes int) uint64 {
+// compactIndex returns the lowest index such that the entries after it and up to high are
+// within the given number and bytes of data. The entry at high is exempt from the limit in
+// bytes.
+func (l *entryLog) compactIndex(high uint64, entries, bytes int) uint64 {
 	low := high
 	for low > l.snapshot.Index && high-low < uint64(entries) {
 		bytes -= len(l.entries[low-l.snapshot.Index-1].Data)
@@ -77,14 +79,15 @@
 	return l.entries[low-first : high-first : high-first]
 }
 
-// put stores entries, replacing all from the first one's index on.
-func (l *entryLog) put(entries []Entry) {
+// truncateAndAppend stores entries, replacing all from the first one's index on.
+func (l *entryLog) truncateAndAppend(entries []Entry) {
 	at := entries[0].Index - l.snapshot.Index - 1
 	if entries[0].Index <= l.snapshot.Index || at > uint64(len(l.entries)) {
 		panic(fmt.Sprintf("replication: entry %d does not follow the log", entries[0].Index))
 	}
 	if at < uint64(len(l.entries)) {
-		// Others may hold what is replaced, so it stays as it is.
+		// Slices returned earlier share this array. The limited capacity makes append copy
+		// it instead of overwriting the replaced entries.
 		l.entries = l.entries[:at:at]
 	}
 	l.entries = append(l.entries, entries...)
@@ -106,13 +109,13 @@
 	members []Member
 }
 
-// configs holds the configuration of the snapshot and each one after it, in
-// order; the last one is in force.
+// configs holds the configuration of the snapshot and each one after it, in log order. The
+// last one is the current one.
 type configs []configAt
 
 func (c configs) current() []Member { return c[len(c)-1].members }
 
-// at returns the configuration in force at an index.
+// at returns the configuration at an index.
 func (c configs) at(index uint64) []Member {
 	members := c[0].members
 	for _, config := range c {
@@ -123,7 +126,7 @@
 	return members
 }
 
-// truncate forgets the configurations from an index on.
+// truncate drops the configurations from an index on.
 func (c configs) truncate(index uint64) configs {
 	for len(c) > 1 && c[len(c)-1].index >= index {
 		c = c[:len(c)-1]
@@ -131,7 +134,7 @@
 	return c
 }
 
-// compact forgets all but the last of the configurations up to an index.
+// compact drops all but the last of the configurations up to an index.
 func (c configs) compact(index uint64) configs {
 	for len(c) > 1 && c[1].index <= index {
 		c = c[1:]
@@ -139,7 +142,7 @@
 	return c
 }
 
-// isVoter reports whether a node votes in a configuration.
+// isVoter reports whether a node is a voter in a configuration.
 func isVoter(members []Member, n Node) bool {
 	for _, m := range members {
 		if m.Node == n && m.Voter {
@@ -149,7 +152,7 @@
 	return false
 }
 
-// majority reports whether the voters for whom yes holds are a majority.
+// majority reports whether yes returns true for a majority of the voters.
 func majority(members []Member, yes func(Node) bool) bool {
 	voters, agreed := 0, 0
 	for _, m := range members {
@@ -164,7 +167,7 @@
 	return voters > 0 && agreed > voters/2
 }
 
-// votersChanged counts the voters that stand in only one of two configurations.
+// votersChanged returns the number of voters that are in only one of two configurations.
 func votersChanged(a, b []Member) int {
 	n := 0
 	for _, m := range a {
--- a/internal/coordination/replication/machine.go
+++ b/internal/coordination/replication/machine.go
@@ -5,22 +5,21 @@
 )
 
 const (
-	// HeartbeatTicks is how often a leader speaks to its followers.
+	// HeartbeatTicks is the interval of a leader's heartbeats.
 	HeartbeatTicks = 2
-	// ElectionTicks is the shortest time without a leader before an election; the
-	// longest is twice that.
+	// ElectionTicks is the minimum election timeout; the maximum is twice that.
 	ElectionTicks = 6
-	// startTicks and startSpread are the shortest time before an election of a replica that has
-	// not known a leader since its start, and how many ticks more it may be: there is none to wait
-	// for, or one whose followers refuse the preliminary vote.
-	startTicks  = 1
-	startSpread = 5
+	// startupElectionTicks and startupElectionSpread are the minimum election timeout of a replica
+	// that has not known a leader since its start, and the maximum random addition to it. It can be
+	// short: either there is no leader to wait for, or its followers reject the pre-vote.
+	startupElectionTicks  = 1
+	startupElectionSpread = 5
 	// maxAppendBytes bounds the entries of one message.
 	maxAppendBytes = 512 << 10
-	// maxInFlight and maxInFlightBytes bound the entries sent to a follower and not
-	// acknowledged; the last message may go beyond the bytes. Two full messages keep
-	// a follower supplied while it syncs one, and what has to be sent again after a
-	// loss stays small beside what a slow link carries in a second.
+	// maxInFlight and maxInFlightBytes bound the number and the bytes of unacknowledged
+	// entries sent to a follower; the last message may exceed the bytes. With two full
+	// messages a follower has one to process while it syncs the other, and the amount to
+	// send again after a loss stays small compared to what a slow link carries in a second.
 	maxInFlight      = 16384
 	maxInFlightBytes = 2 * maxAppendBytes
 )
@@ -34,25 +33,25 @@
 	leader
 )
 
-// progress is what a leader knows of one other member.
+// progress is a leader's replication state for one other member.
 type progress struct {
-	// match is the highest entry known to be durable there, and next the first
-	// one to send. Invariant: match < next.
+	// match is the index of the highest entry known to be durable on the member, and next
+	// that of the first entry to send. Invariant: match < next.
 	match, next uint64
-	// from is where sending began: the entries before it are not on their way, and the
-	// member may hold them although match does not tell so yet. Invariant: from <= next.
-	from uint64
-	// heard is true when the member answered since the last quorum check.
-	heard bool
-	// round is the highest heartbeat round answered.
+	// firstSent is the index from which sending began. Entries before it are not in flight,
+	// and the member may have them even if they are above match. Invariant: firstSent <= next.
+	firstSent uint64
+	// recentlyActive is true if the member replied since the last quorum check.
+	recentlyActive bool
+	// round is the highest heartbeat round that the member replied to.
 	round uint64
-	// matchAtBeat is match at the last heartbeat, to notice lost messages.
-	matchAtBeat uint64
-	// silent counts the ticks since the member last answered.
-	silent int
+	// matchAtHeartbeat is match at the last heartbeat, to detect lost messages.
+	matchAtHeartbeat uint64
+	// silentTicks counts the ticks since the member last replied.
+	silentTicks int
 	// snapshotTicks counts down until a sent snapshot may be sent again.
 	snapshotTicks int
-	// snapshotLost is true from the loss of a sent snapshot until the member answers.
+	// snapshotLost is true from the loss of a sent snapshot until the member replies.
 	snapshotLost bool
 }
 
@@ -60,14 +59,13 @@
 	id, index, round uint64
 }
 
-// resend begins again with the first entry that may have been lost.
-func (p *progress) resend() { p.next = p.unacknowledged() }
+// rewind moves next back to the first entry that may have been lost.
+func (p *progress) rewind() { p.next = p.unacknowledged() }
 
-// unacknowledged returns the first entry that was sent, as far as is known, and not
-// acknowledged.
-func (p *progress) unacknowledged() uint64 { return max(p.match+1, min(p.from, p.next)) }
+// unacknowledged returns the index of the first entry that was sent and not acknowledged.
+func (p *progress) unacknowledged() uint64 { return max(p.match+1, min(p.firstSent, p.next)) }
 
-// Machine is one replica. Make one with New.
+// Machine is the state machine of one replica. Create it with New.
 type Machine struct {
 	self   Node
 	random *rand.Rand
@@ -76,26 +74,26 @@
 	term uint64
 	vote Node
 	log  entryLog
-	// configs is never empty.
+	// configs is never empty; its last element is the current configuration.
 	configs configs
 
-	// commit never falls, and applied <= commit.
+	// commit never decreases. Invariant: applied <= commit.
 	commit, applied uint64
-	// synced is the highest index known to be durable here.
+	// synced is the highest index known to be durable on this replica.
 	synced uint64
 
 	role   role
 	leader Node
-	// met is true once a leader was known since the start.
-	met     bool
-	elapsed int
-	timeout int
-	votes   map[Node]bool
-	others  map[Node]*progress
-	round   uint64
-	beat    int
-	// termStart is the index of this leader's first entry; nothing is read, and
-	// no configuration is changed, before it is committed.
+	// hadLeader is true once this replica has known a leader since its start.
+	hadLeader        bool
+	elapsed          int
+	timeout          int
+	votes            map[Node]bool
+	others           map[Node]*progress
+	round            uint64
+	heartbeatElapsed int
+	// termStart is the index of this leader's first entry. Reads and configuration
+	// changes are refused until it is committed.
 	termStart uint64
 	reads     []pendingRead
 
@@ -105,7 +103,7 @@
 	appended []Entry
 }
 
-// StoredState is what a replica finds in its data folder.
+// StoredState is the content of a replica's data folder.
 type StoredState struct {
 	Term     uint64
 	Vote     Node
@@ -113,7 +111,8 @@
 	Entries  []Entry
 }
 
-// New returns a replica as it is after a start. seed spreads elections.
+// New returns a replica that starts from its stored state. seed randomizes the election
+// timeouts.
 func New(self Node, seed uint64, stored StoredState) *Machine {
 	m := &Machine{self: self, random: rand.New(rand.NewPCG(seed, 0x5eed))}
 	m.term = stored.Term
@@ -122,7 +121,7 @@
 	m.log.snapshot.Data = nil
 	m.configs = configs{{stored.Snapshot.Index, stored.Snapshot.Members}}
 	for _, e := range stored.Entries {
-		m.noteConfig(e)
+		m.recordConfig(e)
 	}
 	m.commit = stored.Snapshot.Index
 	m.applied = stored.Snapshot.Index
@@ -134,22 +133,22 @@
 // Term returns the current term.
 func (m *Machine) Term() uint64 { return m.term }
 
-// Leading reports whether this replica believes that it leads.
+// Leading reports whether this replica considers itself the leader.
 func (m *Machine) Leading() bool { return m.role == leader }
 
-// Leader returns the leader as far as is known, or an empty name.
+// Leader returns the leader known to this replica, or an empty name.
 func (m *Machine) Leader() Node { return m.leader }
 
 // Commit returns the commit index.
 func (m *Machine) Commit() uint64 { return m.commit }
 
-// Members returns the configuration in force, committed or not.
+// Members returns the current configuration, committed or not.
 func (m *Machine) Members() []Member { return m.configs.current() }
 
-// MembersAt returns the configuration in force at an index.
+// MembersAt returns the configuration at an index.
 func (m *Machine) MembersAt(index uint64) []Member { return m.configs.at(index) }
 
-// MembersCommitted reports whether the configuration in force is committed.
+// MembersCommitted reports whether the current configuration is committed.
 func (m *Machine) MembersCommitted() bool { return m.configs[len(m.configs)-1].index <= m.commit }
 
 // LastIndex returns the index of the last entry.
@@ -164,8 +163,8 @@
 // TermOf returns the term of an entry that is still in the log.
 func (m *Machine) TermOf(index uint64) (uint64, bool) { return m.log.term(index) }
 
-// MatchIndex returns the highest entry known to be durable at a member; it is
-// meaningful only while leading.
+// MatchIndex returns the index of the highest entry known to be durable on a member. It is
+// meaningful only on the leader.
 func (m *Machine) MatchIndex(n Node) uint64 {
 	if n == m.self {
 		return m.synced
@@ -177,17 +176,17 @@
 	return p.match
 }
 
-// SilentTicks returns for how many ticks a member has not answered; it is meaningful
-// only while leading.
+// SilentTicks returns the number of ticks since a member last replied. It is meaningful
+// only on the leader.
 func (m *Machine) SilentTicks(n Node) int {
 	if p := m.others[n]; p != nil {
-		return p.silent
+		return p.silentTicks
 	}
 	return 0
 }
 
-// Step takes one input and returns the effects in the order in which they must
-// be carried out.
+// Step processes one input and returns the effects in the order in which they must be
+// carried out.
 func (m *Machine) Step(in Input) []Effect {
 	m.effects = nil
 	switch in := in.(type) {
@@ -208,14 +207,14 @@
 	case Compacted:
 		m.compacted(in.Index)
 	case SnapshotFailed:
-		m.undelivered(in.To)
+		m.snapshotFailed(in.To)
 	default:
-		panic("replication: input outside the sealed set")
+		panic("replication: unknown input type")
 	}
 	return m.finish()
 }
 
-// finish puts the step's persistence first and the committed entries last.
+// finish returns the step's effects: Persist first, and Apply last.
 func (m *Machine) finish() []Effect {
 	out := make([]Effect, 0, len(m.effects)+2)
 	if m.dirty || len(m.appended) > 0 {
@@ -243,25 +242,27 @@
 	m.emit(Send{Message: msg, BeforeSync: early})
 }
 
-func (m *Machine) noteConfig(e Entry) {
+func (m *Machine) recordConfig(e Entry) {
 	if e.Kind == EntryMembers {
 		m.configs = append(m.configs, configAt{e.Index, e.Members})
 	}
 }
 
-// put stores entries in the log and marks them for persistence.
-func (m *Machine) put(entries []Entry) {
+// truncateAndAppend stores entries in the log, in place of all from the first one's index
+// on, and marks them for persistence.
+func (m *Machine) truncateAndAppend(entries []Entry) {
 	first := entries[0].Index
 	m.configs = m.configs.truncate(first)
-	m.log.put(entries)
+	m.log.truncateAndAppend(entries)
 	for _, e := range entries {
-		m.noteConfig(e)
+		m.recordConfig(e)
 	}
 	m.synced = min(m.synced, first-1)
 	m.appended = mergeAppended(m.appended, entries)
 }
 
-// mergeAppended joins two runs of entries of one step; the later one wins.
+// mergeAppended concatenates two runs of entries of one step. The later run replaces
+// entries of the earlier one from its first index on.
 func mergeAppended(a, b []Entry) []Entry {
 	for len(a) > 0 && a[len(a)-1].Index >= b[0].Index {
 		a = a[:len(a)-1]
@@ -275,7 +276,7 @@
 		m.tickLeader()
 		return
 	}
-	// A group of one has nobody to wait for.
+	// The only member of a group need not wait for a leader.
 	alone := len(m.configs.current()) == 1
 	if m.elapsed < m.timeout && !alone {
 		return
@@ -288,36 +289,36 @@
 
 func (m *Machine) tickLeader() {
 	for _, p := range m.others {
-		p.silent++
+		p.silentTicks++
 		if p.snapshotTicks > 0 {
 			p.snapshotTicks--
 		}
 	}
 	if m.elapsed >= ElectionTicks {
 		m.elapsed = 0
-		if !m.quorumHeard() {
+		if !m.quorumActive() {
 			m.become(follower, "")
 			return
 		}
 	}
-	m.beat++
-	if m.beat >= HeartbeatTicks {
-		m.beat = 0
+	m.heartbeatElapsed++
+	if m.heartbeatElapsed >= HeartbeatTicks {
+		m.heartbeatElapsed = 0
 		m.heartbeat()
 	}
 }
 
-func (m *Machine) quorumHeard() bool {
+func (m *Machine) quorumActive() bool {
 	ok := majority(m.configs.current(), func(n Node) bool {
-		return n == m.self || m.others[n] != nil && m.others[n].heard
+		return n == m.self || m.others[n] != nil && m.others[n].recentlyActive
 	})
 	for _, p := range m.others {
-		p.heard = false
+		p.recentlyActive = false
 	}
 	return ok
 }
 
-// become changes the role within the present term.
+// become changes the role and the known leader within the current term.
 func (m *Machine) become(r role, lead Node) {
 	changed := m.role != r || m.leader != lead
 	if m.role == leader && r != leader {
@@ -326,14 +327,14 @@
 	}
 	m.role = r
 	m.leader = lead
-	m.met = m.met || lead != ""
+	m.hadLeader = m.hadLeader || lead != ""
 	m.resetTimer()
 	if changed {
 		m.emit(RoleChanged{Leading: r == leader, Leader: lead, Term: m.term})
 	}
 }
 
-// enterTerm moves on to a higher term as a follower.
+// enterTerm becomes a follower in a higher term.
 func (m *Machine) enterTerm(term uint64, lead Node) {
 	m.term = term
 	m.vote = ""
@@ -348,17 +349,18 @@
 	m.reads = nil
 }
 
-// Vote returns the candidate that has this replica's vote in the current term.
+// Vote returns the candidate that this replica voted for in the current term, or an empty
+// name.
 func (m *Machine) Vote() Node { return m.vote }
 
-// CompactIndex returns the index up to which the log may be compacted so that, of the entries up
-// to high, the last ones stay: at most so many, with data of at most so many bytes or of
-// one entry.
+// CompactIndex returns the index up to which the log may be compacted so that the last entries
+// up to high are kept: at most the given number, and at most the given bytes of data. If
+// entries is positive, the entry at high is kept even if it is larger.
 func (m *Machine) CompactIndex(high uint64, entries, bytes int) uint64 {
-	return m.log.behind(high, entries, bytes)
+	return m.log.compactIndex(high, entries, bytes)
 }
 
-// EntriesAfter returns the entries of the log above an index.
+// EntriesAfter returns the log entries after an index.
 func (m *Machine) EntriesAfter(index uint64) []Entry {
 	last, _ := m.log.last()
 	if index >= last || index < m.log.snapshot.Index {
--- a/internal/coordination/replication/machine_test.go
+++ b/internal/coordination/replication/machine_test.go
@@ -10,48 +10,48 @@
 	"github.com/shedrock/shedrock/internal/coordination/replication"
 )
 
-// rounds is enough time for an election and what follows it.
+// rounds is enough for an election and the exchange that follows it.
 const rounds = 6 * replication.ElectionTicks
 
 func newSettled(t *testing.T, voters int) (*network, replication.Node) {
 	t.Helper()
 	n := newNetwork(t.Fatalf, voters)
-	n.settle(rounds, everyone)
-	leader, ok := n.leader(everyone)
+	n.settle(rounds, allReplicas)
+	leader, ok := n.leader(allReplicas)
 	if !ok {
 		t.Fatal("no leader")
 	}
 	return n, leader
 }
 
-// TestLostDiskCountsNothing has a replica lose its disk and come back blank: until
-// a committed change names its new incarnation, it must not help anybody to a
-// majority.
-func TestLostDiskCountsNothing(t *testing.T) {
+// TestReplicaWithLostDiskHasNoVote has a replica lose its disk and return blank. It must
+// not count towards a majority until a committed change makes its new incarnation a
+// voter, because it has forgotten the entries that it acknowledged.
+func TestReplicaWithLostDiskHasNoVote(t *testing.T) {
 	n, leader := newSettled(t, 3)
 	others := slices.DeleteFunc(slices.Clone(n.order), func(x replication.Node) bool { return x == leader })
-	behind, wiped := others[0], others[1]
+	lagging, wiped := others[0], others[1]
 	n.propose(leader, "kept")
-	n.settle(rounds, without(behind))
-	if !n.holds("kept") {
-		t.Fatal("two of three did not commit")
+	n.settle(rounds, without(lagging))
+	if !n.isCommitted("kept") {
+		t.Fatal("two of three voters did not commit")
 	}
-	// The disk is lost, and the leader is gone: what remains is one replica that
-	// never had the entry, and one blank.
+	// With the disk lost and the leader unreachable, one replica that never had the entry
+	// and one blank replica remain.
 	n.replicas[wiped].up = false
 	n.add("blank", replication.StoredState{})
 	n.settle(10*rounds, without(leader, wiped))
 	if lead, ok := n.leader(without(leader, wiped)); ok {
-		t.Fatalf("%s leads without the committed entry", lead)
+		t.Fatalf("%s became leader without the committed entry", lead)
 	}
 	n.settle(rounds, without(wiped))
 	if _, ok := n.leader(without(wiped)); !ok {
-		t.Fatal("no leader after the return of the one that holds everything")
+		t.Fatal("no leader after the return of the replica that has all entries")
 	}
 }
 
-// TestReplacementSurvivesSecondLoss replaces a lost replica, step by step, and
-// then loses another one for good.
+// TestReplacementSurvivesSecondLoss replaces a lost replica step by step, and then loses
+// another one permanently. The group must still commit.
 func TestReplacementSurvivesSecondLoss(t *testing.T) {
 	n, leader := newSettled(t, 3)
 	others := slices.DeleteFunc(slices.Clone(n.order), func(x replication.Node) bool { return x == leader })
@@ -78,150 +78,151 @@
 	n.replicas[second].up = false
 	n.propose(leader, "after")
 	n.settle(rounds, without(lost, second))
-	if !n.holds("after") || !n.holds("c99") {
-		t.Fatal("the group of two from three does not commit")
+	if !n.isCommitted("after") || !n.isCommitted("c99") {
+		t.Fatal("two of the three voters do not commit after the replacement")
 	}
 	if _, ok := n.replicas["new"].machine.TermOf(n.replicas[leader].machine.LastIndex()); !ok {
-		t.Fatal("the new replica lacks the log")
+		t.Fatal("the new replica lacks the last entry of the log")
 	}
 }
 
-// TestCutOffReplicaDeposesNobody cuts a replica off for a long time and lets it
-// back: the leader and its term stay.
-func TestCutOffReplicaDeposesNobody(t *testing.T) {
+// TestPartitionedReplicaDeposesNoLeader partitions a replica for a long time and heals
+// the partition. The leader and its term must stay, although the replica requests votes.
+func TestPartitionedReplicaDeposesNoLeader(t *testing.T) {
 	n, leader := newSettled(t, 3)
-	cut := n.order[0]
-	if cut == leader {
-		cut = n.order[1]
+	partitioned := n.order[0]
+	if partitioned == leader {
+		partitioned = n.order[1]
 	}
 	term := n.replicas[leader].machine.Term()
-	n.settle(20*rounds, without(cut))
-	// It holds all there is, and asks for votes.
-	asked := 0
+	n.settle(20*rounds, without(partitioned))
+	// Its log is up-to-date, so that only the contact with the leader makes others reject
+	// its pre-vote requests.
+	requests := 0
 	for range 20 * rounds {
-		n.step(cut, replication.Tick{}, noCrash)
+		n.step(partitioned, replication.Tick{}, noCrash)
 		n.step(leader, replication.Tick{}, noCrash)
 		for i := 0; i < len(n.messages); {
 			m := n.messages[i]
-			if m.From == leader && m.To != cut || m.To == leader && m.From != cut {
+			if m.From == leader && m.To != partitioned || m.To == leader && m.From != partitioned {
 				n.deliver(i, false, noCrash)
 				continue
 			}
-			if m.From == cut && m.Kind == replication.PreVoteRequest {
-				asked++
+			if m.From == partitioned && m.Kind == replication.PreVoteRequest {
+				requests++
 				n.deliver(i, false, noCrash)
 				continue
 			}
-			if m.To == cut && m.Kind == replication.PreVoteReply {
+			if m.To == partitioned && m.Kind == replication.PreVoteReply {
 				n.deliver(i, false, noCrash)
 				continue
 			}
 			i++
 		}
 	}
-	if asked == 0 {
-		t.Fatal("the replica that was cut off asked for no votes")
+	if requests == 0 {
+		t.Fatal("the partitioned replica sent no pre-vote requests")
 	}
-	n.settle(rounds, everyone)
-	if now, _ := n.leader(everyone); now != leader || n.replicas[leader].machine.Term() != term {
-		t.Fatalf("its questions deposed %s of term %d: %s", leader, term, now)
+	n.settle(rounds, allReplicas)
+	if now, _ := n.leader(allReplicas); now != leader || n.replicas[leader].machine.Term() != term {
+		t.Fatalf("pre-vote requests deposed leader %s of term %d; the leader is %s", leader, term, now)
 	}
 	n.messages = nil
 	for i := range 300 {
 		n.propose(leader, fmt.Sprintf("c%d", i))
 	}
-	n.settle(rounds, everyone)
-	again, ok := n.leader(everyone)
+	n.settle(rounds, allReplicas)
+	again, ok := n.leader(allReplicas)
 	if !ok || again != leader || n.replicas[leader].machine.Term() != term {
-		t.Fatalf("leader %s term %d became %s term %d", leader, term, again, n.replicas[leader].machine.Term())
+		t.Fatalf("leader changed from %s in term %d to %s in term %d", leader, term, again, n.replicas[leader].machine.Term())
 	}
-	if n.replicas[cut].machine.Commit() != n.replicas[leader].machine.Commit() {
-		t.Fatal("the returned replica did not catch up")
+	if n.replicas[partitioned].machine.Commit() != n.replicas[leader].machine.Commit() {
+		t.Fatal("the replica did not catch up after the partition healed")
 	}
 }
 
-// TestThawedLeaderDoesNothing freezes a leader, lets the rest choose another, and
-// thaws it: it can neither commit nor answer a read.
-func TestThawedLeaderDoesNothing(t *testing.T) {
-	n, frozen := newSettled(t, 3)
-	n.settle(4*rounds, without(frozen))
-	leader, ok := n.leader(without(frozen))
+// TestResumedLeaderCannotCommitOrRead pauses a leader until the others have elected a new
+// one, and resumes it. It must neither commit a proposal nor answer a read.
+func TestResumedLeaderCannotCommitOrRead(t *testing.T) {
+	n, paused := newSettled(t, 3)
+	n.settle(4*rounds, without(paused))
+	leader, ok := n.leader(without(paused))
 	if !ok {
 		t.Fatal("no new leader")
 	}
 	n.propose(leader, "new")
-	n.settle(rounds, without(frozen))
+	n.settle(rounds, without(paused))
 	n.replies = nil
-	n.propose(frozen, "stale")
-	n.step(frozen, replication.Read{ID: 77}, noCrash)
-	n.settle(rounds, everyone)
-	if n.holds("stale") || !n.holds("new") {
-		t.Fatal("the thawed leader's proposal was committed, or the new leader's lost")
+	n.propose(paused, "stale")
+	n.step(paused, replication.Read{ID: 77}, noCrash)
+	n.settle(rounds, allReplicas)
+	if n.isCommitted("stale") || !n.isCommitted("new") {
+		t.Fatal("the resumed leader's proposal was committed, or the new leader's was lost")
 	}
 	for _, e := range n.replies {
 		if ready, ok := e.(replication.ReadReady); ok && ready.ID == 77 {
-			t.Fatal("the thawed leader answered a read")
+			t.Fatal("the resumed leader answered a read")
 		}
 	}
-	if n.replicas[frozen].machine.Leading() {
-		t.Fatal("the thawed leader still believes that it leads")
+	if n.replicas[paused].machine.Leading() {
+		t.Fatal("the resumed leader still considers itself the leader")
 	}
 }
 
-// TestLonelyLeaderStepsDown cuts a leader off from all others.
-func TestLonelyLeaderStepsDown(t *testing.T) {
+// TestIsolatedLeaderStepsDown checks that a leader that receives no replies steps down.
+func TestIsolatedLeaderStepsDown(t *testing.T) {
 	n, leader := newSettled(t, 3)
 	for range 3 * replication.ElectionTicks {
 		n.step(leader, replication.Tick{}, noCrash)
 	}
 	if n.replicas[leader].machine.Leading() {
-		t.Fatal("a leader that hears nobody still leads")
+		t.Fatal("a leader that receives no replies did not step down")
 	}
 }
 
-// TestResignedLeaderIsReplacedAtOnce has a leader step down: another leads within one
-// tick, and holds what was committed; a follower's wish to resign changes nothing.
+// TestResignedLeaderIsReplacedAtOnce has a leader resign. Another must lead within one tick
+// and have all committed entries. A Resign input to a follower must have no effect.
 func TestResignedLeaderIsReplacedAtOnce(t *testing.T) {
 	for _, voters := range []int{3, 5} {
 		n, leader := newSettled(t, voters)
 		n.propose(leader, "x")
-		n.settle(1, everyone)
+		n.settle(1, allReplicas)
 		for _, node := range n.order {
 			if node != leader {
 				n.step(node, replication.Resign{}, noCrash)
 			}
 		}
-		n.settle(1, everyone)
-		if now, _ := n.leader(everyone); now != leader {
-			t.Fatalf("%s leads after followers resigned, not %s", now, leader)
+		n.settle(1, allReplicas)
+		if now, _ := n.leader(allReplicas); now != leader {
+			t.Fatalf("%s is the leader after Resign inputs to the followers, want %s", now, leader)
 		}
 		n.step(leader, replication.Resign{}, noCrash)
-		n.settle(1, everyone)
-		next, ok := n.leader(everyone)
+		n.settle(1, allReplicas)
+		next, ok := n.leader(allReplicas)
 		if !ok || next == leader {
-			t.Fatalf("of %d: %s leads, %v", voters, next, ok)
+			t.Fatalf("%d voters: leader %q (found: %v) one tick after the resignation, want a new one", voters, next, ok)
 		}
 		n.propose(next, "y")
-		n.settle(1, everyone)
-		if !n.holds("x") || !n.holds("y") {
-			t.Fatal("a write is lost, or none is taken")
+		n.settle(1, allReplicas)
+		if !n.isCommitted("x") || !n.isCommitted("y") {
+			t.Fatal("a write was lost, or the new leader commits none")
 		}
 	}
 }
 
-// TestReadSeesWhatWasCommitted checks that a read's index covers every commit that
-// came before the read.
+// TestReadSeesWhatWasCommitted checks that the index of a read covers every entry that was
+// committed before the read.
 func TestReadSeesWhatWasCommitted(t *testing.T) {
 	n, leader := newSettled(t, 3)
 	n.propose(leader, "x")
-	n.settle(rounds, everyone)
+	n.settle(rounds, allReplicas)
 	n.replies = nil
 	n.step(leader, replication.Read{ID: 5}, noCrash)
-	n.settle(rounds, everyone)
+	n.settle(rounds, allReplicas)
 	for _, e := range n.replies {
 		if ready, ok := e.(replication.ReadReady); ok && ready.ID == 5 {
-			if n.committed[ready.Index].Index == 0 || !n.holds("x") {
-				t.Fatalf("the read would look at %d", ready.Index)
+			if n.committed[ready.Index].Index == 0 || !n.isCommitted("x") {
+				t.Fatalf("the read has index %d, at which nothing is committed, or the write is not committed", ready.Index)
 			}
 			return
 		}
@@ -229,7 +230,8 @@
 	t.Fatal("the read was not answered")
 }
 
-// TestTwoVotersDoNotChangeAtOnce asks for changes that could make two majorities.
+// TestTwoVotersDoNotChangeAtOnce proposes configuration changes that could result in two
+// disjoint majorities. They must be refused.
 func TestTwoVotersDoNotChangeAtOnce(t *testing.T) {
 	n, leader := newSettled(t, 3)
 	members := slices.Clone(n.replicas[leader].machine.Members())
@@ -249,18 +251,18 @@
 	two := append(slices.Clone(one), replication.Member{ID: 9, Node: "b", Voter: true})
 	n.step(leader, replication.ProposeMembers{Members: two}, noCrash)
 	if diff := cmp.Diff(one, n.replicas[leader].machine.Members()); diff != "" {
-		t.Fatal("a second change began before the first was committed", diff)
+		t.Fatal("a second change was accepted before the first was committed", diff)
 	}
 }
 
-// TestForgottenVotesAreNoticed checks the checker: a disk that forgets votes must
-// make some schedule fail.
+// TestForgottenVotesAreNoticed verifies the checks of the simulated network: with a disk
+// that loses votes, two leaders are elected in one term, and a check must fail.
 func TestForgottenVotesAreNoticed(t *testing.T) {
 	failed := false
 	n := newNetwork(func(string, ...any) { failed = true }, 3)
 	n.forgetVotes = true
-	// n1 and n2 both pass the preliminary vote; n3 votes for n1, restarts, and is
-	// asked by n2 for the same term.
+	// n1 and n2 both win the pre-vote. n3 votes for n1, restarts, and receives a vote
+	// request from n2 for the same term.
 	pass := func(ok func(replication.Message) bool) {
 		for i := 0; i < len(n.messages) && !failed; {
 			if !ok(n.messages[i]) {
@@ -277,8 +279,8 @@
 	candidates := []replication.Node{"n1", "n2"}
 	for range 3 * replication.ElectionTicks {
 		for _, candidate := range candidates {
-			// One that stands already would go on to another term.
-			if !n.stands(candidate) {
+			// Another tick could move a candidate on to a later term.
+			if !n.requestsVotes(candidate) {
 				n.step(candidate, replication.Tick{}, noCrash)
 			}
 		}
@@ -291,25 +293,25 @@
 		n.restart("n3")
 	}
 	if !failed {
-		t.Fatal("two leaders of one term went unnoticed")
+		t.Fatal("the checks did not detect two leaders in one term")
 	}
 }
 
-// stands reports whether a replica has asked for votes.
-func (n *network) stands(node replication.Node) bool {
+// requestsVotes reports whether a vote request of a replica is pending.
+func (n *network) requestsVotes(node replication.Node) bool {
 	return slices.ContainsFunc(n.messages, func(m replication.Message) bool { return m.Kind == replication.VoteRequest && m.From == node })
 }
 
-// TestOldTermDoesNotCommitByCounting gives a new leader an acknowledgement that
-// covers only an entry of the term before: a majority holds it, and it may still be
-// replaced, so it must not commit.
+// TestOldTermDoesNotCommitByCounting sends a new leader an acknowledgement that covers only
+// an entry of an earlier term. Although a majority has the entry, it could still be
+// replaced, so it must not be committed.
 func TestOldTermDoesNotCommitByCounting(t *testing.T) {
 	n, leader := newSettled(t, 3)
 	n.propose(leader, "old")
 	n.messages = nil
 	machine := n.replicas[leader].machine
 	old := machine.LastIndex()
-	// The leader restarts and leads again; the others do not have the entry.
+	// The leader restarts and is elected again. The others do not have the entry.
 	n.restart(leader)
 	for _, node := range n.order {
 		for range replication.ElectionTicks {
@@ -333,6 +335,6 @@
 		Kind: replication.AppendReply, From: other, To: leader, Term: machine.Term(), LogIndex: old,
 	}}, noCrash)
 	if machine.Commit() >= old {
-		t.Fatalf("entry %d of an earlier term was committed by counting", old)
+		t.Fatalf("entry %d of an earlier term was committed by counting replicas", old)
 	}
 }
--- a/internal/coordination/replication/main_test.go
+++ b/internal/coordination/replication/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the random schedules, so that a verdict is the same
-// each time, unless the flags say otherwise or the long mix runs.
+// TestMain fixes the number and the seed of the random schedules so that results are
+// reproducible, unless they are set by flags or the soak test runs.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := map[string]bool{}
--- a/internal/coordination/replication/network_test.go
+++ b/internal/coordination/replication/network_test.go
@@ -7,30 +7,31 @@
 	"github.com/shedrock/shedrock/internal/coordination/replication"
 )
 
-// replica is a machine with its durable storage.
+// replica is a machine and its durable storage.
 type replica struct {
 	machine *replication.Machine
 	stored  replication.StoredState
-	// applied holds every entry handed over, by index.
+	// applied holds every applied entry by index.
 	applied map[uint64]replication.Entry
 	up      bool
 }
 
-// network joins replicas in one goroutine. Messages wait until they are delivered,
-// lost or delivered twice.
+// network simulates replicas and the messages between them in one goroutine. Messages
+// are pending until they are delivered, lost, or delivered twice.
 type network struct {
 	replicas map[replication.Node]*replica
 	order    []replication.Node
 	messages []replication.Message
-	// committed is what any replica has applied; every other must agree.
+	// committed holds the entries that any replica has applied; all others must agree.
 	committed map[uint64]replication.Entry
-	// committedBy is a term by which each was committed at the latest.
+	// committedBy is the term of the first replica that applied an entry; the entry was
+	// committed in that term or an earlier one.
 	committedBy map[uint64]uint64
 	leaders     map[uint64]replication.Node
 	fail        func(string, ...any)
 	replies     []replication.Effect
 	nextID      uint64
-	// forgetVotes is the fault of a disk that does not sync.
+	// forgetVotes simulates a disk that loses votes because it does not sync.
 	forgetVotes bool
 }
 
@@ -55,7 +56,7 @@
 	n.restart(node)
 }
 
-// restart starts a replica from its durable storage.
+// restart starts or restarts a replica from its durable storage.
 func (n *network) restart(node replication.Node) {
 	r := n.replicas[node]
 	r.machine = replication.New(node, uint64(slices.Index(n.order, node)), r.stored)
@@ -63,19 +64,19 @@
 	r.up = true
 }
 
-// crash says where a replica stops after a step.
+// crash is the point of a step at which a replica crashes.
 type crash int
 
 const (
-	// noCrash goes on.
+	// noCrash completes the step.
 	noCrash crash = iota
-	// beforeSync stops after early messages, before anything is durable.
+	// beforeSync crashes after the messages with BeforeSync, before anything is durable.
 	beforeSync
-	// afterSync stops when the step is durable, before it is answered or applied.
+	// afterSync crashes when the step is durable, before it is acknowledged or applied.
 	afterSync
 )
 
-// step gives a replica an input and carries out the effects, up to a crash.
+// step passes an input to a replica and carries out the effects, up to a crash.
 func (n *network) step(node replication.Node, in replication.Input, at crash) {
 	r := n.replicas[node]
 	if !r.up {
@@ -84,24 +85,24 @@
 	effects := r.machine.Step(in)
 	if at != noCrash {
 		r.up = false
-		n.crashed(r, effects, at)
+		n.executeUntilCrash(r, effects, at)
 		return
 	}
 	for _, e := range effects {
-		n.carry(r, e)
+		n.execute(r, e)
 	}
 	last := r.machine.LastIndex()
 	term, _ := r.machine.TermOf(last)
 	for _, e := range r.machine.Step(replication.Persisted{Index: last, Term: term}) {
-		n.carry(r, e)
+		n.execute(r, e)
 	}
 	if r.machine.Leading() {
 		n.checkLeader(node, r)
 	}
 }
 
-// crashed carries out what a replica still did of a step.
-func (n *network) crashed(r *replica, effects []replication.Effect, at crash) {
+// executeUntilCrash carries out the effects of a step that precede a crash.
+func (n *network) executeUntilCrash(r *replica, effects []replication.Effect, at crash) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case replication.Send:
@@ -110,13 +111,13 @@
 			}
 		case replication.Persist, replication.Restore:
 			if at == afterSync {
-				n.carry(r, e)
+				n.execute(r, e)
 			}
 		}
 	}
 }
 
-func (n *network) carry(r *replica, e replication.Effect) {
+func (n *network) execute(r *replica, e replication.Effect) {
 	switch e := e.(type) {
 	case replication.Persist:
 		n.persist(r, e)
@@ -149,7 +150,7 @@
 func (n *network) checkApplied(r *replica, entry replication.Entry) {
 	known, ok := n.committed[entry.Index]
 	if ok && (known.Term != entry.Term || string(known.Data) != string(entry.Data)) {
-		n.fail("two entries were applied at %d: %v and %v", entry.Index, known, entry)
+		n.fail("different entries were applied at index %d: %v and %v", entry.Index, known, entry)
 	}
 	n.committed[entry.Index] = entry
 	if _, ok := n.committedBy[entry.Index]; !ok {
@@ -158,9 +159,9 @@
 	r.applied[entry.Index] = entry
 }
 
-// checkLeader holds a leader to one per term, and to all that was committed in
-// earlier terms. A late winner of an old term knows nothing of newer commits, and
-// cannot commit anything itself.
+// checkLeader checks that a term has only one leader, and that its log has all entries
+// committed in earlier terms. A replica that wins an old term late may lack entries
+// committed in newer terms; it cannot commit anything itself.
 func (n *network) checkLeader(node replication.Node, r *replica) {
 	term := r.machine.Term()
 	if other, ok := n.leaders[term]; ok && other != node {
@@ -181,7 +182,7 @@
 	}
 }
 
-// deliver hands over the i-th waiting message; keep leaves a copy waiting.
+// deliver delivers the i-th pending message. With keep set, a copy stays pending.
 func (n *network) deliver(i int, keep bool, at crash) {
 	msg := n.messages[i]
 	if !keep {
@@ -197,24 +198,25 @@
 	n.step(msg.To, replication.Receive{Message: msg}, at)
 }
 
-// maxDelivered is far more than any exchange needs between two ticks.
+// maxDelivered is well above the number of messages that any exchange needs between two
+// ticks.
 const maxDelivered = 20000
 
-// settle delivers everything, in order, and lets time pass, for some rounds. Only
-// replicas for which reach holds take part.
-func (n *network) settle(rounds int, reach func(replication.Node) bool) {
+// settle runs the network for some rounds, each of which is a tick and the delivery of all
+// messages in order. Only replicas for which reachable returns true take part.
+func (n *network) settle(rounds int, reachable func(replication.Node) bool) {
 	for range rounds {
 		for _, node := range n.order {
-			if reach(node) {
+			if reachable(node) {
 				n.step(node, replication.Tick{}, noCrash)
 			}
 		}
 		for delivered := 0; len(n.messages) > 0; delivered++ {
 			msg := n.messages[0]
 			if delivered > maxDelivered {
-				n.fail("the replicas never come to rest: %+v", n.messages[:min(len(n.messages), 4)])
+				n.fail("the replicas still exchange messages after 20000 deliveries: %+v", n.messages[:min(len(n.messages), 4)])
 			}
-			if !reach(msg.From) || !reach(msg.To) {
+			if !reachable(msg.From) || !reachable(msg.To) {
 				n.messages = n.messages[1:]
 				continue
 			}
@@ -223,18 +225,18 @@
 	}
 }
 
-func everyone(replication.Node) bool { return true }
+func allReplicas(replication.Node) bool { return true }
 
 func without(out ...replication.Node) func(replication.Node) bool {
 	return func(n replication.Node) bool { return !slices.Contains(out, n) }
 }
 
-// leader returns the leader of the highest term among the replicas in reach.
-func (n *network) leader(reach func(replication.Node) bool) (replication.Node, bool) {
+// leader returns the leader of the highest term among the reachable replicas.
+func (n *network) leader(reachable func(replication.Node) bool) (replication.Node, bool) {
 	var best replication.Node
 	var term uint64
 	for node, r := range n.replicas {
-		if r.up && reach(node) && r.machine.Leading() && r.machine.Term() > term {
+		if r.up && reachable(node) && r.machine.Leading() && r.machine.Term() > term {
 			best = node
 			term = r.machine.Term()
 		}
@@ -242,14 +244,14 @@
 	return best, term > 0
 }
 
-// propose asks a node to commit a command.
+// propose proposes a command to a node.
 func (n *network) propose(node replication.Node, data string) {
 	n.nextID++
 	n.step(node, replication.Propose{Commands: []replication.Command{{ID: n.nextID, Data: []byte(data)}}}, noCrash)
 }
 
-// holds reports whether a command is committed.
-func (n *network) holds(data string) bool {
+// isCommitted reports whether a command is committed.
+func (n *network) isCommitted(data string) bool {
 	for _, e := range n.committed {
 		if string(e.Data) == data {
 			return true
--- a/internal/coordination/replication/power_test.go
+++ b/internal/coordination/replication/power_test.go
@@ -7,10 +7,11 @@
 	"github.com/shedrock/shedrock/internal/coordination/replication"
 )
 
-// TestDisksLostAsAllOthersLosePower answers a write that just a majority holds, and at that moment
-// as many replicas as may be lost at once lose their disks and all others lose power: what is on
-// its way is lost with them. Whichever replicas it strikes, those with disks go on by themselves
-// and hold the write; the blank ones, which come back under other names, give no vote.
+// TestDisksLostAsAllOthersLosePower commits a write that only a bare majority has, and then has
+// up to a minority of the replicas lose their disks while all others lose power, together with
+// all messages in flight. For every such set of replicas, those that still have disks must elect
+// a leader that has the write. The others return with blank disks, as other incarnations, and
+// have no vote.
 func TestDisksLostAsAllOthersLosePower(t *testing.T) {
 	for _, voters := range []int{3, 5} {
 		for lost := range 1 << voters {
@@ -26,7 +27,8 @@
 	}
 }
 
-// loseDisks has the followers of a set hold a write beside the leader, and a set lose their disks.
+// loseDisks replicates a write to the followers in holders, makes the replicas in lost lose their
+// disks and restarts the others. Both sets are bit masks over the network's order.
 func loseDisks(t *testing.T, voters, lost, holders int) {
 	n, leader := newSettled(t, voters)
 	all := n.order
@@ -38,8 +40,8 @@
 		}
 	}
 	n.deliverTo(leader, noCrash)
-	if !n.holds("write") {
-		// The leader is in the set itself, so that no majority holds the write.
+	if !n.isCommitted("write") {
+		// The leader itself is in holders, so that no majority has the write.
 		return
 	}
 	n.messages = nil
@@ -55,9 +57,9 @@
 	}
 	n.settle(10*rounds, without(gone...))
 	if _, ok := n.leader(without(gone...)); !ok {
-		t.Fatalf("of %d voters, with the disks %b lost and the write at %b: nobody leads", voters, lost, holders)
+		t.Fatalf("of %d voters, with the disks %b lost and the write at %b: no leader", voters, lost, holders)
 	}
-	// That whoever leads holds what was committed is checked as it begins to lead.
+	// checkLeader has checked that the leader has the committed write.
 }
 
 func bits(set int) int {
--- a/internal/coordination/replication/random_test.go
+++ b/internal/coordination/replication/random_test.go
@@ -12,9 +12,9 @@
 	"github.com/shedrock/shedrock/internal/coordination/replication"
 )
 
-// TestRandomFaults runs random schedules of loss, delay, repetition, crashes, lost
-// disks and replacements, and checks after every step that a term has one leader,
-// that every leader holds what was committed, and that all apply the same.
+// TestRandomFaults runs random schedules of message loss, delay and duplication, crashes,
+// lost disks and replacements. It checks after every step that a term has one leader, that
+// every leader has all committed entries, and that all replicas apply the same entries.
 func TestRandomFaults(t *testing.T) {
 	var commits, terms, changes int
 	rapid.Check(t, func(t *rapid.T) {
@@ -27,16 +27,16 @@
 			}
 		}
 	})
-	t.Logf("%d entries committed under %d leaders, %d of them changes of the configuration", commits, terms, changes)
+	t.Logf("%d entries committed in %d terms, %d of them configuration changes", commits, terms, changes)
 	if commits == 0 || terms == 0 || changes == 0 {
-		t.Fatal("the schedules exercised nothing")
+		t.Fatal("the schedules had no commits, no elections or no configuration changes")
 	}
 }
 
-// TestSoakRandomFaults runs longer ones; see "make soak".
+// TestSoakRandomFaults runs longer schedules; see "make soak".
 func TestSoakRandomFaults(t *testing.T) {
 	if os.Getenv("SHEDROCK_SOAK") == "" {
-		t.Skip("set SHEDROCK_SOAK to run the long mix")
+		t.Skip("set SHEDROCK_SOAK to run the long schedules")
 	}
 	for range 50 {
 		rapid.Check(t, func(t *rapid.T) { randomFaults(t, 3000) })
@@ -46,8 +46,8 @@
 func randomFaults(t *rapid.T, steps int) *network {
 	n := newNetwork(t.Fatalf, 3)
 	fresh := 3
-	// The library prefers small numbers, which would make schedules in which one
-	// replica does everything; so it only chooses the seed.
+	// rapid prefers small numbers, which would make schedules in which one replica does
+	// everything, so it only draws the seed.
 	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), rapid.Uint64().Draw(t, "seed")))
 	draw := random.IntN
 	for range steps {
@@ -70,9 +70,9 @@
 		case action == 21:
 			compact(n, node)
 		case action >= 22:
-			// A spell in which some reach each other and the rest do not.
-			cut := n.order[draw(len(n.order))]
-			n.settle(1+draw(2*replication.ElectionTicks), without(cut))
+			// A period in which one replica is partitioned from the others.
+			partitioned := n.order[draw(len(n.order))]
+			n.settle(1+draw(2*replication.ElectionTicks), without(partitioned))
 		}
 	}
 	for _, node := range n.order {
@@ -83,7 +83,7 @@
 	return n
 }
 
-// randomCrash crashes one step in twenty, half of them on each side of the sync.
+// randomCrash crashes one step in twenty, half of them before and half after the sync.
 func randomCrash(draw func(int) int) crash {
 	switch draw(40) {
 	case 0:
@@ -94,8 +94,8 @@
 	return noCrash
 }
 
-// randomChange moves a leader's configuration one step towards the replacement of
-// a replica by a blank one.
+// randomChange proposes the next step of replacing a random replica by a blank one, if the
+// node is the leader.
 func randomChange(n *network, node replication.Node, fresh *int, draw func(int) int) {
 	r := n.replicas[node]
 	if !r.up || !r.machine.Leading() {
--- a/internal/coordination/replication/resign.go
+++ b/internal/coordination/replication/resign.go
@@ -1,13 +1,14 @@
 package replication
 
-// resign steps down. The voter that holds most is asked to stand at once; the others are
-// told not to wait for this leader. It is only a hint: the election that follows is like
-// any other, and a message that is lost costs the usual time.
+// resign steps down and sends a ResignRequest to all other members. It asks the most
+// up-to-date voter to start an election at once, and lets the others grant a pre-vote without
+// waiting for this leader's timeout. The election is a regular one; if a message is lost, it
+// starts after the usual timeout.
 func (m *Machine) resign() {
 	if m.role != leader {
 		return
 	}
-	successor := m.fullest()
+	successor := m.mostUpToDateVoter()
 	for _, member := range m.configs.current() {
 		if member.Node != m.self {
 			m.send(Message{Kind: ResignRequest, To: member.Node, Successor: member.Node == successor})
@@ -16,9 +17,9 @@
 	m.become(follower, "")
 }
 
-// fullest returns the other voter that is known to hold most, of those heard lately if
-// there is one; it is empty when there is no other voter.
-func (m *Machine) fullest() Node {
+// mostUpToDateVoter returns the other voter with the highest match index, preferring
+// recently active ones. It is empty when there is no other voter.
+func (m *Machine) mostUpToDateVoter() Node {
 	var best Node
 	for _, member := range m.configs.current() {
 		p := m.others[member.Node]
@@ -26,7 +27,7 @@
 			continue
 		}
 		b := m.others[best]
-		if b == nil || p.heard && !b.heard || p.heard == b.heard && p.match > b.match {
+		if b == nil || p.recentlyActive && !b.recentlyActive || p.recentlyActive == b.recentlyActive && p.match > b.match {
 			best = member.Node
 		}
 	}
--- a/internal/coordination/replication/size_test.go
+++ b/internal/coordination/replication/size_test.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// largeEntry is the size of an entry that installs a configuration as it was seen, in
-	// bytes.
+	// largeEntry is a realistic size in bytes for an entry that installs a configuration.
 	largeEntry = 825_000
-	// mostInFlight is what a leader may send to a member before it hears from it: two
-	// messages of 512 KB, and one entry beyond.
-	mostInFlight = 1<<20 + largeEntry
+	// maxUnacknowledged is the number of bytes that a leader may send to a member without an
+	// acknowledgement: two messages of 512 KB, and one entry beyond.
+	maxUnacknowledged = 1<<20 + largeEntry
 )
 
-// entryBytes sums up the entries of the messages that wait for a node, each entry once.
+// entryBytes returns the size of the entries in the pending messages to a node, each entry
+// counted once.
 func (n *network) entryBytes(to replication.Node) int {
 	sizes := map[uint64]int{}
 	for _, m := range n.messages {
@@ -37,7 +37,8 @@
 	return sum
 }
 
-// newLarge returns a settled group whose log has many large entries, and a follower.
+// newLarge returns a settled group whose log has the given number of large entries, its
+// leader and a follower.
 func newLarge(t *testing.T, entries int) (n *network, leader, follower replication.Node) {
 	t.Helper()
 	n, leader = newSettled(t, 3)
@@ -47,15 +48,16 @@
 	}
 	for i := range entries {
 		n.propose(leader, large(i))
-		n.settle(1, everyone)
+		n.settle(1, allReplicas)
 	}
 	return n, leader, follower
 }
 
 func large(i int) string { return fmt.Sprint(i, strings.Repeat("x", largeEntry)) }
 
-// A leader sends a member that does not answer a bounded number of bytes, however many
-// large entries it takes meanwhile; the member catches up when it answers again.
+// TestBytesInFlightAreBounded checks that a leader sends a bounded number of bytes to a member
+// that does not reply, however many large entries are proposed in the meantime, and that the
+// member catches up when it replies again.
 func TestBytesInFlightAreBounded(t *testing.T) {
 	const changes = 20
 	n, leader, slow := newLarge(t, 0)
@@ -63,17 +65,18 @@
 		n.propose(leader, large(i))
 		n.deliverWithout(slow)
 	}
-	if sent := n.entryBytes(slow); sent > mostInFlight {
-		t.Errorf("%d bytes are on their way to one that does not answer, must be at most %d", sent, mostInFlight)
+	if sent := n.entryBytes(slow); sent > maxUnacknowledged {
+		t.Errorf("%d bytes are in flight to a member that does not reply, want at most %d", sent, maxUnacknowledged)
 	}
-	n.settle(rounds, everyone)
-	if diff := cmp.Diff(n.order, n.synced(leader)); diff != "" {
-		t.Fatalf("not all hold all: %s", diff)
+	n.settle(rounds, allReplicas)
+	if diff := cmp.Diff(n.order, n.caughtUp(leader)); diff != "" {
+		t.Fatalf("not all replicas have caught up: %s", diff)
 	}
 }
 
-// A new leader does not know yet what the others hold. It asks, and sends none of the log
-// that they hold already, also when their answers take longer than a heartbeat.
+// TestNewLeaderSendsNothingThatOthersHold checks that a new leader, which does not know the
+// match indexes of the others yet, sends no entries that they already have, also if their
+// replies take longer than a heartbeat interval.
 func TestNewLeaderSendsNothingThatOthersHold(t *testing.T) {
 	n, leader, _ := newLarge(t, 4)
 	for _, node := range n.order {
@@ -85,21 +88,21 @@
 	if !ok {
 		t.Fatal("no leader")
 	}
-	// The third one comes back, and its answers are slow.
+	// The former leader returns, but its replies are delayed.
 	for range 4 * replication.HeartbeatTicks {
 		n.step(next, replication.Tick{}, noCrash)
 		n.deliverWithout(leader)
 	}
 	if sent := n.entryBytes(leader); sent > 0 {
-		t.Errorf("%d bytes are sent to a member that holds them", sent)
+		t.Errorf("%d bytes are sent to a member that already has them", sent)
 	}
-	n.settle(rounds, everyone)
-	if diff := cmp.Diff(n.order, n.synced(next)); diff != "" {
-		t.Fatalf("not all hold all: %s", diff)
+	n.settle(rounds, allReplicas)
+	if diff := cmp.Diff(n.order, n.caughtUp(next)); diff != "" {
+		t.Fatalf("not all replicas have caught up: %s", diff)
 	}
 }
 
-// deliverWithout delivers all messages but those from and to one node, which wait on.
+// deliverWithout delivers all messages but those from and to one node, which stay pending.
 func (n *network) deliverWithout(node replication.Node) {
 	for i := 0; i < len(n.messages); {
 		if n.messages[i].To == node || n.messages[i].From == node {
@@ -110,8 +113,8 @@
 	}
 }
 
-// synced returns the replicas that have committed what the leader has.
-func (n *network) synced(leader replication.Node) []replication.Node {
+// caughtUp returns the replicas with the same commit index as the leader.
+func (n *network) caughtUp(leader replication.Node) []replication.Node {
 	var out []replication.Node
 	for _, node := range n.order {
 		if n.replicas[node].machine.Commit() == n.replicas[leader].machine.Commit() {
@@ -121,13 +124,13 @@
 	return out
 }
 
-// A member that is gone is sent no snapshot, however long; when it answers again it is
-// sent one at once.
-func TestSnapshotIsForThoseThatAnswer(t *testing.T) {
-	n, leader, gone := newLarge(t, 0)
-	n.replicas[gone].up = false
+// TestNoSnapshotForUnresponsiveMember checks that no snapshot is sent to a member that is down,
+// however long, and that one is sent at once when it replies again.
+func TestNoSnapshotForUnresponsiveMember(t *testing.T) {
+	n, leader, down := newLarge(t, 0)
+	n.replicas[down].up = false
 	n.propose(leader, "x")
-	n.settle(rounds, without(gone))
+	n.settle(rounds, without(down))
 	index := n.replicas[leader].machine.Commit()
 	n.step(leader, replication.Compacted{Index: index}, noCrash)
 	count := func() int {
@@ -140,26 +143,27 @@
 				}
 				n.deliver(0, false, noCrash)
 			}
-			if n.replicas[gone].up {
+			if n.replicas[down].up {
 				break
 			}
 		}
 		return snapshots
 	}
 	if snapshots := count(); snapshots > 0 {
-		t.Errorf("%d snapshots were sent to a member that is gone", snapshots)
+		t.Errorf("%d snapshots were sent to a member that is down", snapshots)
 	}
-	n.restart(gone)
+	n.restart(down)
 	for range replication.HeartbeatTicks {
 		if count() > 0 {
 			return
 		}
 	}
-	t.Error("no snapshot within a heartbeat of the return")
+	t.Error("no snapshot within a heartbeat interval of the restart")
 }
 
-// A snapshot that was lost on its way to a member that had just started is sent again with the next
-// heartbeat, and not only after the time in which one crosses a slow link.
+// TestLostSnapshotIsSentAgain loses a snapshot to a member that has just started. It must be sent
+// again with the next heartbeat, and not only after snapshotRetryTicks, which allow for the
+// transfer over a slow link.
 func TestLostSnapshotIsSentAgain(t *testing.T) {
 	n, leader, late := newLarge(t, 0)
 	n.replicas[late].up = false
@@ -187,16 +191,17 @@
 		t.Fatal("no snapshot was sent")
 	}
 	if sent() {
-		t.Fatal("another one was sent while the first is on its way")
+		t.Fatal("another snapshot was sent while the first is in flight")
 	}
 	n.step(leader, replication.SnapshotFailed{To: late}, noCrash)
 	if !sent() {
-		t.Error("no snapshot within a heartbeat of the loss of the first")
+		t.Error("no snapshot within a heartbeat interval of the loss of the first")
 	}
 }
 
-// A snapshot that was lost is not made again before the member answers. Each would be lost as well,
-// and the one that is on its way when the member returns would lack what was committed since.
+// TestLostSnapshotWaitsForAnAnswer checks that a lost snapshot is not created again before the
+// member replies. Each would be lost as well, and the one in flight when the member returns would
+// lack the entries committed since.
 func TestLostSnapshotWaitsForAnAnswer(t *testing.T) {
 	n, leader, late := newLarge(t, 0)
 	n.replicas[late].up = false
@@ -221,7 +226,7 @@
 		pump()
 	}
 	if sent > 1 {
-		t.Errorf("%d snapshots were made for a member that answers nothing", sent)
+		t.Errorf("%d snapshots were created for a member that does not reply, want at most 1", sent)
 	}
 	n.restart(late)
 	before := sent
@@ -230,13 +235,13 @@
 		pump()
 	}
 	if sent == before {
-		t.Error("no snapshot within two heartbeats of the return")
+		t.Error("no snapshot within two heartbeat intervals of the restart")
 	}
 }
 
-// What stays behind a snapshot is bounded in entries and in bytes, but the last entry stays
-// whatever its size.
-func TestBehindBoundsEntriesAndBytes(t *testing.T) {
+// TestCompactIndexBoundsEntriesAndBytes checks that the entries kept behind a snapshot are bounded
+// in number and in bytes, but that the last entry is kept whatever its size.
+func TestCompactIndexBoundsEntriesAndBytes(t *testing.T) {
 	stored := replication.StoredState{Term: 1, Snapshot: replication.Snapshot{Index: 10, Term: 1}}
 	for i, size := range []int{5, 1, 3, 2, 9} {
 		stored.Entries = append(stored.Entries, replication.Entry{Index: uint64(11 + i), Term: 1, Kind: replication.EntryCommand, Data: make([]byte, size)})
@@ -248,8 +253,8 @@
 	}
 	got := map[bound]uint64{}
 	want := map[bound]uint64{
-		{15, 9, 100}: 10, // all
-		{15, 9, 8}:   14, // the last is larger
+		{15, 9, 100}: 10, // all are kept
+		{15, 9, 8}:   14, // the last entry exceeds the limit
 		{15, 0, 100}: 15,
 		{15, 2, 100}: 13,
 		{14, 9, 6}:   11,
--- a/internal/coordination/replication/types.go
+++ b/internal/coordination/replication/types.go
@@ -1,46 +1,47 @@
-// Package replication decides how the replicas of the control log agree.
+// Package replication implements the consensus protocol of the control log.
 //
-// It is a pure state machine: one input in, a list of effects out. It holds no
-// clock, socket, file or goroutine; time reaches it as Tick inputs and chance as
-// a seed. A shell carries out the effects in order.
+// It is a deterministic state machine that takes one input and returns a list of
+// effects. It uses no clock, socket, file or goroutine: time arrives as Tick inputs,
+// and randomness is seeded. The caller carries out the effects in order.
 //
-// The protocol is leader-based: terms, votes and commit by a majority of voters,
-// with a preliminary vote so that a replica that was cut off does not depose a
-// leader, a leader that steps down when it no longer hears a majority, and
-// linearizable reads by a round of heartbeats that trust no clock.
+// The protocol follows Raft: terms, votes, and commit by a majority of voters. A
+// pre-vote keeps a partitioned replica from deposing a leader, a leader that loses
+// contact with a majority steps down, and linearizable reads are confirmed by a round
+// of heartbeats and depend on no clock.
 //
-// A replica is known by the incarnation of its data folder, never by its address
-// or number. A folder that was lost comes back as another incarnation, whose
-// votes and acknowledgements count only after a committed change made it a voter.
+// A replica is identified by the incarnation of its data folder, never by its address
+// or number. A replica whose folder was lost returns as another incarnation, whose
+// votes and acknowledgements count only after a committed configuration change has
+// made it a voter.
 package replication
 
-// Node is the incarnation of one replica's data folder.
+// Node identifies a replica by the incarnation of its data folder.
 type Node string
 
 // Member is one replica in a configuration.
 type Member struct {
 	// ID is the number under which operators declare the replica.
 	ID uint64
-	// Node is the incarnation that counts.
+	// Node is the replica's incarnation in this configuration.
 	Node Node
 	// Address is the replica's "ip:port".
 	Address string
 	// FailureDomain is empty where operators declare the replicas.
 	FailureDomain string
-	// Voter is false for a learner, which receives the log and counts nowhere.
+	// Voter is false for a learner, which receives the log but counts in no majority.
 	Voter bool
 }
 
-// EntryKind says what an entry of the log holds.
+// EntryKind is the kind of a log entry.
 type EntryKind uint32
 
 // The kinds of entry.
 const (
-	// EntryCommand holds a command for the state above.
+	// EntryCommand holds a command for the replicated state.
 	EntryCommand EntryKind = iota + 1
-	// EntryMembers holds a configuration; it is in force as soon as it is in the log.
+	// EntryMembers holds a configuration, which takes effect as soon as it is in the log.
 	EntryMembers
-	// EntryEmpty is a new leader's first entry.
+	// EntryEmpty is the no-op entry that a new leader appends first.
 	EntryEmpty
 )
 
@@ -53,17 +54,17 @@
 	Members []Member
 }
 
-// Snapshot stands for every entry up to Index.
+// Snapshot replaces all entries up to and including Index.
 type Snapshot struct {
 	Index, Term uint64
-	// Members is the configuration in force at Index.
+	// Members is the configuration at Index.
 	Members []Member
-	// Data is the state above; it is nil inside the machine, and the shell adds
-	// it when a snapshot is sent.
+	// Data is the replicated state. It is nil inside the machine; the caller adds it
+	// when a snapshot is sent.
 	Data []byte
 }
 
-// MessageKind says what a message asks or answers.
+// MessageKind is the kind of a message.
 type MessageKind uint32
 
 // The kinds of message.
@@ -78,46 +79,46 @@
 	ResignRequest
 )
 
-// Message goes from one replica to another.
+// Message is a message from one replica to another.
 type Message struct {
 	Kind     MessageKind
 	From, To Node
 	Term     uint64
-	// LogIndex and LogTerm are those of the sender's last entry in a vote
-	// request, and of the entry before Entries in an append request. LogIndex is
-	// the highest matching entry in an accepting reply.
+	// LogIndex and LogTerm identify the sender's last entry in a vote request, and
+	// the entry before Entries in an append request. In an accepting reply, LogIndex
+	// is the index of the highest matching entry.
 	LogIndex, LogTerm uint64
 	// Commit is the leader's commit index.
 	Commit uint64
-	// Hint is, in a rejecting append reply, the highest index that may match.
+	// Hint is the highest index that may match, in a rejecting append reply.
 	Hint uint64
-	// Round counts the leader's heartbeats, for linearizable reads.
+	// Round is the number of the leader's heartbeat round, for linearizable reads.
 	Round   uint64
 	Reject  bool
 	Entries []Entry
-	// Successor, of a ResignRequest, asks the receiver to stand for election at once.
+	// Successor, in a ResignRequest, asks the receiver to start an election at once.
 	Successor bool
 	// Snapshot is set for SnapshotRequest only.
 	Snapshot *Snapshot
 }
 
 // Input is one of Tick, Receive, Propose, ProposeMembers, Read, Resign, Persisted,
-// Compacted or Undelivered.
+// Compacted or SnapshotFailed.
 type Input interface{ input() }
 
-// Tick says that one unit of time has passed.
+// Tick reports that one unit of time has passed.
 type Tick struct{}
 
-// Receive hands over a message from another replica.
+// Receive delivers a message from another replica.
 type Receive struct{ Message Message }
 
-// Propose asks the leader to append commands. They travel to each follower in
-// one message.
+// Propose asks the leader to append commands. They are sent to followers together
+// rather than one by one.
 type Propose struct{ Commands []Command }
 
 // Command is one proposal.
 type Command struct {
-	// ID comes back in Appended or Refused.
+	// ID is returned in Appended or Refused.
 	ID   uint64
 	Data []byte
 }
@@ -129,20 +130,21 @@
 	Members []Member
 }
 
-// Read asks for the index that a linearizable read has to wait for.
+// Read requests the index that a linearizable read has to wait for.
 type Read struct{ ID uint64 }
 
-// Resign asks a leader to step down and to name a successor, before a planned stop.
+// Resign asks a leader to step down and to start a successor's election, before a planned
+// stop.
 type Resign struct{}
 
-// Persisted says that the log is synced up to Index, whose term is Term.
+// Persisted reports that the log is synced up to Index, whose entry has the term Term.
 type Persisted struct{ Index, Term uint64 }
 
-// Compacted says that a snapshot up to Index is durable, so that the entries up
-// to it may go.
+// Compacted reports that a snapshot up to Index is durable, so that the entries up to
+// it may be dropped.
 type Compacted struct{ Index uint64 }
 
-// SnapshotFailed says that a snapshot sent to a member did not arrive there.
+// SnapshotFailed reports that a snapshot sent to a member was not delivered.
 type SnapshotFailed struct{ To Node }
 
 func (Tick) input()           {}
@@ -159,42 +161,43 @@
 // or RoleChanged.
 type Effect interface{ effect() }
 
-// Persist asks for durable storage. Entries replaces every stored entry from its
-// first index on. Every Send that follows and is not Early must wait for it.
+// Persist requests durable storage. Entries replaces every stored entry from its first
+// index on. Every later Send without BeforeSync must wait until it is synced.
 type Persist struct {
 	Term    uint64
 	Vote    Node
 	Entries []Entry
 }
 
-// Send asks for a message to be sent; losing it is allowed.
+// Send requests that a message be sent. The message may be lost.
 type Send struct {
 	Message Message
 	// BeforeSync allows sending before the Persist effects of the same step are synced.
 	BeforeSync bool
 }
 
-// Apply hands over committed entries, in order, each exactly once.
+// Apply delivers committed entries in order, each exactly once.
 type Apply struct{ Entries []Entry }
 
-// Restore replaces the state above and the stored log by a snapshot.
+// Restore replaces the replicated state and the stored log by a snapshot.
 type Restore struct{ Snapshot Snapshot }
 
-// Appended says where a proposal stands in the leader's log. It is decided when
-// the entry applied at Index has this Term; another term means that it is lost.
+// Appended reports the position of a proposal in the leader's log. The proposal is
+// committed if the entry that is applied at Index has this Term, and lost if that entry
+// has another term.
 type Appended struct{ ID, Index, Term uint64 }
 
-// Refused says that a proposal or read was not taken up.
+// Refused reports that a proposal or read was not accepted.
 type Refused struct {
 	ID uint64
-	// Leader is the leader as far as is known, or empty.
+	// Leader is the leader known to this replica, or empty.
 	Leader Node
 }
 
-// ReadReady says that a read may be answered once Index is applied.
+// ReadReady reports that a read may be answered once Index is applied.
 type ReadReady struct{ ID, Index uint64 }
 
-// RoleChanged tells of a new role, leader or term.
+// RoleChanged reports a change of the role or the leader, and the current term.
 type RoleChanged struct {
 	Leading bool
 	Leader  Node
