--- a/internal/coordination/suspects/replay_test.go
+++ b/internal/coordination/suspects/replay_test.go
@@ -98,7 +98,7 @@
 				continue
 			}
 			for _, c := range collectors {
-				detector.Add(c.Drain(), start.Add(nextDetection))
+				detector.AddReports(c.Drain(), start.Add(nextDetection))
 			}
 			next := map[registry.Incarnation]bool{}
 			pending = append(pending, detection{nextDetection + propagationDelay, next})
--- a/internal/coordination/suspects/suspects.go
+++ b/internal/coordination/suspects/suspects.go
@@ -191,8 +191,8 @@
 // expectedWeight is the weight of one report in the moving average.
 const expectedWeight = 0.1
 
-// Add adds a report of an entry.
-func (d *Detector) Add(reports []Failures, now time.Time) {
+// AddReports adds a report of an entry.
+func (d *Detector) AddReports(reports []Failures, now time.Time) {
 	for _, f := range reports {
 		s := d.services[f.Service]
 		if s == nil {
--- a/internal/transport/fleet/failures.go
+++ b/internal/transport/fleet/failures.go
@@ -140,6 +140,6 @@
 // takeFailures joins what an entry saw; mu must be held.
 func (s *Source) takeFailures(in []*wire.InstanceFailures) {
 	if len(in) > 0 {
-		s.suspects.Add(toFailures(in), clock.Now())
+		s.suspects.AddReports(toFailures(in), clock.Now())
 	}
 }
