--- a/internal/coordination/balance/balance.go
+++ b/internal/coordination/balance/balance.go
@@ -127,9 +127,9 @@
 	// Failed counts against the instance. Unreachable also has it avoided for a while. TimedOut
 	// says that its address did not respond before the timeout.
 	Failed, Unreachable, TimedOut bool
-	// Canceled says that the request was ended by this side, as when the caller disconnects, and
+	// Aborted says that the request was ended by this side, as when the caller disconnects, and
 	// says nothing about the instance.
-	Canceled bool
+	Aborted bool
 	// Latency is the time to the first byte of the answer, or 0 when there was none.
 	Latency time.Duration
 }
@@ -139,7 +139,7 @@
 	l := b.load(target)
 	l.inFlight--
 	l.lastUsed = now
-	if r.Canceled {
+	if r.Aborted {
 		return
 	}
 	sample := 0.0
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -151,7 +151,7 @@
 	}
 	for range 100 {
 		b.Begin(two[0], now)
-		b.End(incarnation("i0"), balance.Result{Canceled: true}, now)
+		b.End(incarnation("i0"), balance.Result{Aborted: true}, now)
 	}
 	for range 10 {
 		if id := pick(t, b, two, balance.PickInfo{}); id != "i1" {
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -223,11 +223,11 @@
 	case retry.Broken:
 		result.Failed, result.TimedOut = true, timedOut(reply, err)
 	case retry.CallerGone:
-		result.Canceled = true
+		result.Aborted = true
 	}
 	if canceledByWatch(end, watch) {
 		// The attempt was canceled on this side and does not count as a failure of the engine.
-		result = balance.Result{Canceled: true}
+		result = balance.Result{Aborted: true}
 	}
 	j.server.mu.Lock()
 	j.server.balancer.End(j.instance.Incarnation(), result, clock.Now())
