--- a/internal/coordination/suspects/suspects.go
+++ b/internal/coordination/suspects/suspects.go
@@ -191,7 +191,7 @@
 // expectedWeight is the weight of one report in the moving average.
 const expectedWeight = 0.1
 
-// AddReports adds a report of an entry.
+// AddReports adds the reports of an entry.
 func (d *Detector) AddReports(reports []Failures, now time.Time) {
 	for _, f := range reports {
 		s := d.services[f.Service]
