--- a/internal/state/registry/belief.go
+++ b/internal/state/registry/belief.go
@@ -6,12 +6,12 @@
 // version in a heartbeat counts only once that long has passed, as it may have been sent before.
 const lateFor = 5 * time.Second
 
-// Word is how what an instance said of itself is known.
-type Word struct {
+// Provenance is how what an instance said of itself is known.
+type Provenance struct {
 	// At is when it was first said, as far as it was not said differently since.
 	At time.Time
-	// Asked says that a control instance asked for it; else a heartbeat told it.
-	Asked bool
+	// Queried says that a control instance asked for it; else a heartbeat told it.
+	Queried bool
 	// Via is the address of the control instance that passed it on, or empty where it was heard.
 	Via string
 }
@@ -19,7 +19,7 @@
 // claim is one word about the version of one model's weights.
 type claim struct {
 	version uint64
-	word    Word
+	word    Provenance
 	// sequence is that of the newest heartbeat that was known with the word.
 	sequence uint64
 }
@@ -27,7 +27,7 @@
 // after reports whether a claim was made after another one: heartbeats are in the order of
 // their sequence, and answers in that of time.
 func (c claim) after(other claim) bool {
-	if !c.word.Asked && !other.word.Asked {
+	if !c.word.Queried && !other.word.Queried {
 		return c.sequence > other.sequence
 	}
 	return c.word.At.After(other.word.At)
@@ -39,7 +39,7 @@
 	if !c.after(newer) {
 		return false
 	}
-	return c.word.Asked || !newer.word.Asked || now.Sub(newer.word.At) > lateFor
+	return c.word.Queried || !newer.word.Queried || now.Sub(newer.word.At) > lateFor
 }
 
 // belief is what is believed of the weights of one model at one instance, as several sources
--- a/internal/state/registry/incarnation.go
+++ b/internal/state/registry/incarnation.go
@@ -19,15 +19,15 @@
 // Incarnation returns whose report this is.
 func (in Instance) Incarnation() Incarnation { return Incarnation{in.ID, in.Start} }
 
-// StartedAgainError says that an answer came from another start of an instance than the one that
+// RestartedError says that an answer came from another start of an instance than the one that
 // was asked.
-type StartedAgainError struct {
-	// Asked is the incarnation that was asked, and Answered the start that answered.
-	Asked    Incarnation
-	Answered Start
+type RestartedError struct {
+	// Expected is the incarnation that was asked, and Answered the start that answered.
+	Expected    Incarnation
+	ActualStart Start
 }
 
 // Error names the instance.
-func (e *StartedAgainError) Error() string {
-	return "instance " + e.Asked.ID + " started again since"
+func (e *RestartedError) Error() string {
+	return "instance " + e.Expected.ID + " started again since"
 }
--- a/internal/state/registry/merged.go
+++ b/internal/state/registry/merged.go
@@ -43,8 +43,8 @@
 	since   time.Time
 }
 
-// Take notes what one source reports.
-func (m *Merged) Take(source string, reports []Report, now time.Time) {
+// Merge notes what one source reports.
+func (m *Merged) Merge(source string, reports []Report, now time.Time) {
 	if m.instances == nil {
 		m.instances = map[string][]*merged{}
 	}
@@ -80,7 +80,7 @@
 // its start.
 func (m *Merged) endBefore(left Report, now time.Time) {
 	for _, k := range m.instances[left.ID] {
-		if left.First.IsZero() || !k.first.After(left.First) {
+		if left.FirstSeen.IsZero() || !k.first.After(left.FirstSeen) {
 			k.left = true
 			clear(k.sources)
 			k.since = now.Add(-m.Grace)
@@ -91,8 +91,8 @@
 // take notes what a source reports in one of its lives; gone is since when an instance that it
 // calls silent or gone is not vouched for.
 func (k *merged) take(source string, life int, r Report, gone time.Time) {
-	if !r.First.IsZero() && r.First.Before(k.first) {
-		k.first = r.First
+	if !r.FirstSeen.IsZero() && r.FirstSeen.Before(k.first) {
+		k.first = r.FirstSeen
 	}
 	k.learn(r.Instance)
 	if r.Sequence > k.newest.Sequence {
@@ -120,25 +120,25 @@
 	}
 }
 
-// Forget notes that a source knows nothing any more: it came back empty, or it is gone.
-func (m *Merged) Forget(source string, now time.Time) {
+// DropSource notes that a source knows nothing any more: it came back empty, or it is gone.
+func (m *Merged) DropSource(source string, now time.Time) {
 	for k := range m.all() {
 		k.drop(source, now)
 	}
 }
 
-// Restart notes that a source began anew. What it vouched for before holds until
-// ForgetEarlier, as it may take many calls to Take until it has told everything again.
-func (m *Merged) Restart(source string) {
+// BeginResync notes that a source began anew. What it vouched for before holds until
+// EndResync, as it may take many calls to Merge until it has told everything again.
+func (m *Merged) BeginResync(source string) {
 	if m.lives == nil {
 		m.lives = map[string]int{}
 	}
 	m.lives[source]++
 }
 
-// ForgetEarlier notes that a source told everything since it began anew, so that what it does
+// EndResync notes that a source told everything since it began anew, so that what it does
 // not vouch for again is gone.
-func (m *Merged) ForgetEarlier(source string, now time.Time) {
+func (m *Merged) EndResync(source string, now time.Time) {
 	for k := range m.all() {
 		if k.sources[source] != m.lives[source] {
 			k.drop(source, now)
@@ -166,12 +166,12 @@
 	}
 	k.unsettled = false
 	k.newest.Weights = make(map[string]uint64, len(k.weights))
-	k.newest.Told = Word{}
+	k.newest.WeightsProvenance = Provenance{}
 	for model, b := range k.weights {
 		c := b.at(now)
 		k.newest.Weights[model] = c.version
-		if c.word.At.After(k.newest.Told.At) {
-			k.newest.Told = c.word
+		if c.word.At.After(k.newest.WeightsProvenance.At) {
+			k.newest.WeightsProvenance = c.word
 		}
 		k.unsettled = k.unsettled || b.doubt != nil
 	}
--- a/internal/state/registry/registry.go
+++ b/internal/state/registry/registry.go
@@ -1,7 +1,7 @@
 // Package registry holds the instances that registered by heartbeat.
 //
 // It is soft state: what a control instance wrote down of it only bridges a restart, until
-// the instances report again (Recall). Each control instance keeps a Registry of what it heard
+// the instances report again (Restore). Each control instance keeps a Registry of what it heard
 // itself; whoever uses instances joins the reports of all control instances in a Merged. The
 // latest start of an instance decides which report holds, and of that start the newest sequence
 // number, so calls that arrive late or elsewhere change nothing.
@@ -38,10 +38,10 @@
 	Leaving bool
 	// Sequence rises with each heartbeat.
 	Sequence uint64
-	// Weights holds the weight version of each model that it serves, and Told is how they are
+	// Weights holds the weight version of each model that it serves, and WeightsProvenance is how they are
 	// known.
-	Weights map[string]uint64
-	Told    Word
+	Weights           map[string]uint64
+	WeightsProvenance Provenance
 }
 
 // Report is an instance as one control instance knows it.
@@ -50,8 +50,8 @@
 	// Silent is true after several missing heartbeats, and Left once it signed off. One that
 	// left without a start is the end of every incarnation of the id that was heard of before.
 	Silent, Left bool
-	// First is when the registry first heard of it; zero stands for now.
-	First time.Time
+	// FirstSeen is when the registry first heard of it; zero stands for now.
+	FirstSeen time.Time
 	// Change numbers the reports of one registry in the order of their changes.
 	Change uint64
 }
@@ -74,12 +74,12 @@
 // Change returns the number of the newest change.
 func (r *Registry) Change() uint64 { return r.log.Last() }
 
-// Hear takes a heartbeat; it reports whether anything changed that others must know.
-func (r *Registry) Hear(in Instance, now time.Time) bool {
+// RecordHeartbeat takes a heartbeat; it reports whether anything changed that others must know.
+func (r *Registry) RecordHeartbeat(in Instance, now time.Time) bool {
 	known, ok := r.records[in.ID]
-	in.Told = Word{At: now}
+	in.WeightsProvenance = Provenance{At: now}
 	if !ok || known.endsWith(in.Start) {
-		r.put(&record{report: Report{Instance: in, First: now}, heard: now})
+		r.put(&record{report: Report{Instance: in, FirstSeen: now}, heard: now})
 		return true
 	}
 	if in.Start < known.report.Start {
@@ -95,7 +95,7 @@
 	changed := known.report.Silent || !same(known.report.Instance, in)
 	in.Weights = known.report.weightsAfter(in, now)
 	if maps.Equal(in.Weights, known.report.Weights) {
-		in.Told = known.report.Told
+		in.WeightsProvenance = known.report.WeightsProvenance
 	}
 	changed = changed || !maps.Equal(in.Weights, known.report.Weights)
 	known.report.Instance = in
@@ -112,12 +112,12 @@
 	return start > k.report.Start && !(k.report.Left && k.report.Start == 0)
 }
 
-// Asked takes what an instance answered when it was asked for its weights; in is what was
+// RecordQueriedWeights takes what an instance answered when it was asked for its weights; in is what was
 // believed of it then. It reports whether others must know.
-func (r *Registry) Asked(in Instance, model string, version uint64, now time.Time) bool {
+func (r *Registry) RecordQueriedWeights(in Instance, model string, version uint64, now time.Time) bool {
 	known, ok := r.records[in.ID]
 	if !ok || known.endsWith(in.Start) {
-		r.Hear(in, now)
+		r.RecordHeartbeat(in, now)
 		known = r.records[in.ID]
 	}
 	if known.report.Start != in.Start {
@@ -125,13 +125,13 @@
 	}
 	same := known.report.Weights[model] == version && in.Weights[model] == version
 	// The answer may be older than a heartbeat that came just before it.
-	early := version < known.report.Weights[model] && now.Sub(known.report.Told.At) <= lateFor
+	early := version < known.report.Weights[model] && now.Sub(known.report.WeightsProvenance.At) <= lateFor
 	if same || early {
 		return false
 	}
 	known.report.Weights = maps.Clone(known.report.Weights)
 	known.report.Weights[model] = version
-	known.report.Told = Word{At: now, Asked: true}
+	known.report.WeightsProvenance = Provenance{At: now, Queried: true}
 	r.note(known)
 	return true
 }
@@ -154,19 +154,19 @@
 
 // claim returns what is said of one model.
 func (in Instance) claim(model string) claim {
-	return claim{version: in.Weights[model], word: in.Told, sequence: in.Sequence}
+	return claim{version: in.Weights[model], word: in.WeightsProvenance, sequence: in.Sequence}
 }
 
-// Recall takes a report of an earlier life of this registry. Until the instance reports
+// Restore takes a report of an earlier life of this registry. Until the instance reports
 // itself it counts for a while only, and one that was silent then does not count at all; nor
 // does one that has reported itself since.
-func (r *Registry) Recall(report Report, now time.Time, counts time.Duration) {
+func (r *Registry) Restore(report Report, now time.Time, counts time.Duration) {
 	known, ok := r.records[report.ID]
 	if report.Silent || ok && !known.endsWith(report.Start) {
 		return
 	}
 	// What it says of its weights now goes before what it said then.
-	report.Told = Word{}
+	report.WeightsProvenance = Provenance{}
 	r.put(&record{report: report, heard: now.Add(counts - r.SilentAfter)})
 }
 
@@ -174,7 +174,7 @@
 func (r *Registry) Leave(in Incarnation, now time.Time) {
 	known, ok := r.records[in.ID]
 	if !ok || known.endsWith(in.Start) {
-		r.put(&record{report: Report{Instance: Instance{ID: in.ID, Start: in.Start}, First: now, Left: true}, heard: now})
+		r.put(&record{report: Report{Instance: Instance{ID: in.ID, Start: in.Start}, FirstSeen: now, Left: true}, heard: now})
 		return
 	}
 	if in.Start != 0 && in.Start < known.report.Start {
@@ -188,9 +188,9 @@
 	r.note(known)
 }
 
-// Excuse notes that this process did nothing for a while before now: that nobody was heard then says
+// DiscountPause notes that this process did nothing for a while before now: that nobody was heard then says
 // nothing of them.
-func (r *Registry) Excuse(missed time.Duration, now time.Time) {
+func (r *Registry) DiscountPause(missed time.Duration, now time.Time) {
 	for _, k := range r.records {
 		k.heard = earlier(k.heard.Add(missed), now)
 	}
--- a/internal/state/registry/registry_test.go
+++ b/internal/state/registry/registry_test.go
@@ -29,15 +29,15 @@
 func TestNewestSequenceWins(t *testing.T) {
 	now := time.Unix(0, 0)
 	r := registry.Registry{SilentAfter: 4 * beat}
-	r.Hear(instance("x", 2, true), now)
-	r.Hear(instance("x", 1, false), now)
+	r.RecordHeartbeat(instance("x", 2, true), now)
+	r.RecordHeartbeat(instance("x", 1, false), now)
 	if diff := cmp.Diff(true, r.Since(0)[0].Leaving); diff != "" {
 		t.Error(diff)
 	}
 	r.Leave(registry.Incarnation{ID: "x"}, now)
-	r.Hear(instance("x", 3, false), now)
+	r.RecordHeartbeat(instance("x", 3, false), now)
 	r.Leave(registry.Incarnation{ID: "never seen"}, now)
-	r.Hear(instance("never seen", 1, false), now)
+	r.RecordHeartbeat(instance("never seen", 1, false), now)
 	for _, report := range r.Since(0) {
 		if !report.Left {
 			t.Errorf("%s came back", report.ID)
@@ -48,13 +48,13 @@
 func TestOnlyChangesAreTold(t *testing.T) {
 	now := time.Unix(0, 0)
 	r := registry.Registry{SilentAfter: 4 * beat}
-	r.Hear(instance("x", 1, false), now)
+	r.RecordHeartbeat(instance("x", 1, false), now)
 	mark := r.Change()
-	r.Hear(instance("x", 2, false), now)
+	r.RecordHeartbeat(instance("x", 2, false), now)
 	if diff := cmp.Diff(0, len(r.Since(mark))); diff != "" {
 		t.Error(diff)
 	}
-	r.Hear(instance("x", 3, true), now)
+	r.RecordHeartbeat(instance("x", 3, true), now)
 	if diff := cmp.Diff(1, len(r.Since(mark))); diff != "" {
 		t.Error(diff)
 	}
@@ -69,11 +69,11 @@
 		in.Weights = map[string]uint64{"m": version}
 		return in
 	}
-	r.Hear(with(1, 1), now)
-	if !r.Asked(with(1, 1), "m", 2, now) {
+	r.RecordHeartbeat(with(1, 1), now)
+	if !r.RecordQueriedWeights(with(1, 1), "m", 2, now) {
 		t.Error("a new version is no news")
 	}
-	r.Hear(with(2, 1), now)
+	r.RecordHeartbeat(with(2, 1), now)
 	if diff := cmp.Diff(uint64(2), r.Since(0)[0].Weights["m"]); diff != "" {
 		t.Error(diff)
 	}
@@ -102,16 +102,16 @@
 		take(&m, "c2", now.Add(after), two.Since(0)...)
 		return m.Live(now.Add(after))[0].Weights["m"]
 	}
-	one.Hear(with(1, 2), now)
+	one.RecordHeartbeat(with(1, 2), now)
 	got := []uint64{at(0)}
-	one.Hear(with(2, 1), now.Add(time.Second))
+	one.RecordHeartbeat(with(2, 1), now.Add(time.Second))
 	got = append(got, at(time.Second))
-	one.Asked(with(2, 1), "m", 2, now.Add(2*time.Second))
+	one.RecordQueriedWeights(with(2, 1), "m", 2, now.Add(2*time.Second))
 	got = append(got, at(2*time.Second))
 	// The second one hears the engine for the first time, and knows of no answer.
-	two.Hear(with(3, 1), now.Add(3*time.Second))
+	two.RecordHeartbeat(with(3, 1), now.Add(3*time.Second))
 	got = append(got, at(3*time.Second), at(6*time.Second), at(8*time.Second))
-	one.Asked(with(3, 1), "m", 2, now.Add(9*time.Second))
+	one.RecordQueriedWeights(with(3, 1), "m", 2, now.Add(9*time.Second))
 	got = append(got, at(9*time.Second), at(20*time.Second))
 	if diff := cmp.Diff([]uint64{2, 1, 2, 2, 2, 1, 2, 2}, got); diff != "" {
 		t.Error(diff)
@@ -139,9 +139,9 @@
 	old, next := instance("old", 70, false), instance("next", 3, false)
 	next.Address = old.Address
 	ago := func(seconds int) time.Time { return now.Add(-time.Duration(seconds) * time.Second) }
-	gone := registry.Report{Instance: old, Silent: true, First: ago(60)}
-	lately := registry.Report{Instance: old, First: ago(2)}
-	lives := registry.Report{Instance: next, First: ago(9)}
+	gone := registry.Report{Instance: old, Silent: true, FirstSeen: ago(60)}
+	lately := registry.Report{Instance: old, FirstSeen: ago(2)}
+	lives := registry.Report{Instance: next, FirstSeen: ago(9)}
 	for name, order := range map[string][]registry.Report{
 		"gone last":                     {lives, gone},
 		"gone first":                    {gone, lives},
@@ -161,9 +161,9 @@
 func TestFirstHeard(t *testing.T) {
 	r := registry.Registry{SilentAfter: 4 * beat}
 	first := time.Unix(50, 0)
-	r.Hear(instance("x", 1, false), first)
-	r.Hear(instance("x", 2, true), first.Add(beat))
-	if diff := cmp.Diff(first, r.Since(0)[0].First); diff != "" {
+	r.RecordHeartbeat(instance("x", 1, false), first)
+	r.RecordHeartbeat(instance("x", 2, true), first.Add(beat))
+	if diff := cmp.Diff(first, r.Since(0)[0].FirstSeen); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -176,13 +176,13 @@
 		{Instance: instance("reports", 3, false)}, {Instance: instance("is gone", 3, false)},
 		{Instance: instance("left", 3, false), Left: true}, {Instance: instance("was silent", 3, false), Silent: true},
 	} {
-		r.Recall(report, now, 2*beat)
+		r.Restore(report, now, 2*beat)
 	}
 	if n := len(r.Since(0)); n != 3 {
 		t.Errorf("%d are known", n)
 	}
-	r.Hear(instance("reports", 4, false), now.Add(beat))
-	r.Hear(instance("left", 4, false), now.Add(beat))
+	r.RecordHeartbeat(instance("reports", 4, false), now.Add(beat))
+	r.RecordHeartbeat(instance("left", 4, false), now.Add(beat))
 	var silent []string
 	for _, in := range r.Sweep(now.Add(2*beat + 1)) {
 		silent = append(silent, in.ID)
@@ -200,21 +200,21 @@
 func TestSilenceAndReturn(t *testing.T) {
 	now := time.Unix(0, 0)
 	r := registry.Registry{SilentAfter: 4 * beat}
-	r.Hear(instance("x", 1, false), now)
+	r.RecordHeartbeat(instance("x", 1, false), now)
 	if diff := cmp.Diff(0, len(r.Sweep(now.Add(4*beat)))); diff != "" {
 		t.Error(diff)
 	}
 	if diff := cmp.Diff(1, len(r.Sweep(now.Add(5*beat)))); diff != "" {
 		t.Error(diff)
 	}
-	r.Hear(instance("x", 2, false), now.Add(6*beat))
+	r.RecordHeartbeat(instance("x", 2, false), now.Add(6*beat))
 	if diff := cmp.Diff(false, r.Since(0)[0].Silent); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func take(m *registry.Merged, source string, now time.Time, reports ...registry.Report) {
-	m.Take(source, reports, now)
+	m.Merge(source, reports, now)
 }
 
 // An instance may report to another control instance than before; each of them knows a
@@ -246,7 +246,7 @@
 	now := time.Unix(0, 0)
 	m := registry.Merged{Grace: 4 * beat}
 	take(&m, "c1", now, registry.Report{Instance: instance("x", 1, false)}, registry.Report{Instance: instance("y", 1, false)})
-	m.Forget("c1", now)
+	m.DropSource("c1", now)
 	if diff := cmp.Diff([]string{"x", "y"}, ids(m.Live(now.Add(3*beat)))); diff != "" {
 		t.Error(diff)
 	}
@@ -265,13 +265,13 @@
 		return registry.Report{Instance: instance(id, 1, false), Silent: silent}
 	}
 	take(&m, "c1", now, report("x", false), report("y", false), report("z", false))
-	m.Restart("c1")
+	m.BeginResync("c1")
 	take(&m, "c1", now, report("x", false), report("z", true))
 	now = now.Add(60 * beat)
 	if diff := cmp.Diff([]string{"x", "y"}, ids(m.Live(now))); diff != "" {
 		t.Error(diff)
 	}
-	m.ForgetEarlier("c1", now)
+	m.EndResync("c1", now)
 	if diff := cmp.Diff([]string{"x", "y"}, ids(m.Live(now.Add(3*beat)))); diff != "" {
 		t.Error(diff)
 	}
@@ -285,9 +285,9 @@
 	now := time.Unix(0, 0)
 	r := registry.Registry{SilentAfter: 4 * beat}
 	for _, id := range []string{"x", "y", "z"} {
-		r.Hear(instance(id, 1, false), now)
+		r.RecordHeartbeat(instance(id, 1, false), now)
 	}
-	r.Hear(instance("x", 2, true), now)
+	r.RecordHeartbeat(instance("x", 2, true), now)
 	list := func(reports iter.Seq2[uint64, registry.Report]) []string {
 		out := []string{}
 		for change, report := range reports {
--- a/internal/state/registry/starts_test.go
+++ b/internal/state/registry/starts_test.go
@@ -65,13 +65,13 @@
 	m := registry.Merged{Grace: 4 * beat}
 	before, after := instance("x", 50, false), instance("x", 1, false)
 	before.Start, after.Start, after.Address = 2000, 1000, "elsewhere"
-	r.Hear(before, now)
+	r.RecordHeartbeat(before, now)
 	var usedAt time.Duration
 	for at := time.Duration(0); at < 2*time.Minute && usedAt == 0; at += beat {
-		r.Hear(after, now.Add(at))
+		r.RecordHeartbeat(after, now.Add(at))
 		after.Sequence++
 		r.Sweep(now.Add(at))
-		m.Take("c", r.Since(0), now.Add(at))
+		m.Merge("c", r.Since(0), now.Add(at))
 		if live := m.Live(now.Add(at)); len(live) == 1 && live[0].Address == "elsewhere" {
 			usedAt = at
 		}
@@ -89,14 +89,14 @@
 	old, next := instance("x", 50, false), instance("x", 1, false)
 	old.Start, old.Weights = 1000, map[string]uint64{"m": 5}
 	next.Start, next.Weights = 2000, map[string]uint64{"m": 3}
-	r.Hear(old, now)
-	m.Take("c", r.Since(0), now)
-	r.Hear(next, now.Add(beat))
-	if r.Asked(old, "m", 9, now.Add(2*beat)) {
+	r.RecordHeartbeat(old, now)
+	m.Merge("c", r.Since(0), now)
+	r.RecordHeartbeat(next, now.Add(beat))
+	if r.RecordQueriedWeights(old, "m", 9, now.Add(2*beat)) {
 		t.Error("an answer of the earlier start is news")
 	}
-	m.Take("c", r.Since(0), now.Add(2*beat))
-	m.Take("other", []registry.Report{{Instance: old}}, now.Add(2*beat))
+	m.Merge("c", r.Since(0), now.Add(2*beat))
+	m.Merge("other", []registry.Report{{Instance: old}}, now.Add(2*beat))
 	live := m.Live(now.Add(2 * beat))
 	if diff := cmp.Diff(map[string]uint64{"m": 3}, live[0].Weights); diff != "" {
 		t.Error(diff)
@@ -126,11 +126,11 @@
 		for _, first := range []bool{true, false} {
 			r := registry.Registry{SilentAfter: 4 * beat}
 			if first {
-				r.Recall(registry.Report{Instance: of(c.written)}, now, 2*beat)
+				r.Restore(registry.Report{Instance: of(c.written)}, now, 2*beat)
 			}
-			r.Hear(of(c.heard), now)
+			r.RecordHeartbeat(of(c.heard), now)
 			if !first {
-				r.Recall(registry.Report{Instance: of(c.written)}, now, 2*beat)
+				r.Restore(registry.Report{Instance: of(c.written)}, now, 2*beat)
 			}
 			if diff := cmp.Diff(c.want, r.Since(0)[0].Address); diff != "" {
 				t.Error(c.name, first, diff)
@@ -146,12 +146,12 @@
 	known.Start, other.Start = 1000, 2000
 	other.Address, other.Service = known.Address, "unheard of"
 	m := registry.Merged{Grace: 4 * beat, Declared: func(service string) bool { return service == "s" }}
-	m.Take("c", []registry.Report{{Instance: known}, {Instance: other}}, now)
+	m.Merge("c", []registry.Report{{Instance: known}, {Instance: other}}, now)
 	if diff := cmp.Diff([]string{"known"}, ids(m.Live(now))); diff != "" {
 		t.Error(diff)
 	}
 	other.Service = "s"
-	m.Take("c", []registry.Report{{Instance: other}}, now)
+	m.Merge("c", []registry.Report{{Instance: other}}, now)
 	if diff := cmp.Diff([]string{"known"}, ids(m.Live(now))); diff != "" {
 		t.Error("an older word of it: " + diff)
 	}
@@ -168,14 +168,14 @@
 				in := instance(fmt.Sprint("i", i), 1, false)
 				in.Start, in.Weights = registry.Start(i+1), map[string]uint64{"m": 1}
 				all = append(all, in)
-				r.Hear(in, now)
+				r.RecordHeartbeat(in, now)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				in := &all[i%n]
 				in.Sequence++
-				r.Hear(*in, now)
+				r.RecordHeartbeat(*in, now)
 			}
 		})
 	}
--- a/internal/state/registry/world_test.go
+++ b/internal/state/registry/world_test.go
@@ -84,7 +84,7 @@
 	for i, s := range w.sources {
 		s.Sweep(w.now)
 		w.restart(i)
-		w.merged.Take(fmt.Sprint("c", i), w.sources[i].Since(w.told[i]), w.now)
+		w.merged.Merge(fmt.Sprint("c", i), w.sources[i].Since(w.told[i]), w.now)
 		w.told[i] = w.sources[i].Change()
 	}
 	return w.wrong()
@@ -151,7 +151,7 @@
 		if l.leaves {
 			w.sources[l.to].Leave(in.Incarnation(), w.now)
 		} else {
-			w.sources[l.to].Hear(in, w.now)
+			w.sources[l.to].RecordHeartbeat(in, w.now)
 		}
 	}
 	w.letters = later
@@ -176,13 +176,13 @@
 	}
 	next := &registry.Registry{SilentAfter: 4 * beat}
 	for _, report := range w.sources[i].Since(0) {
-		next.Recall(report, w.now, 2*beat)
+		next.Restore(report, w.now, 2*beat)
 	}
 	w.sources[i] = next
 	w.told[i] = 0
-	w.merged.Restart(fmt.Sprint("c", i))
-	w.merged.Take(fmt.Sprint("c", i), next.Since(0), w.now)
-	w.merged.ForgetEarlier(fmt.Sprint("c", i), w.now)
+	w.merged.BeginResync(fmt.Sprint("c", i))
+	w.merged.Merge(fmt.Sprint("c", i), next.Since(0), w.now)
+	w.merged.EndResync(fmt.Sprint("c", i), w.now)
 	w.told[i] = next.Change()
 }
 
--- a/internal/transport/fleet/convert.go
+++ b/internal/transport/fleet/convert.go
@@ -16,8 +16,8 @@
 	return &wire.InstanceReport{
 		Id: r.ID, Start: int64(r.Start), Service: r.Service, Address: r.Address, FailureDomain: r.FailureDomain, Slots: uint32(r.Slots),
 		Leaving: r.Leaving, Silent: r.Silent, Left: r.Left, Sequence: r.Sequence, Weights: fromWeights(r.Weights),
-		AgeMilliseconds:        uint64(now.Sub(r.First).Milliseconds()),
-		WeightsAgeMilliseconds: uint64(now.Sub(r.Told.At).Milliseconds()), WeightsAsked: r.Told.Asked,
+		AgeMilliseconds:        uint64(now.Sub(r.FirstSeen).Milliseconds()),
+		WeightsAgeMilliseconds: uint64(now.Sub(r.WeightsProvenance.At).Milliseconds()), WeightsAsked: r.WeightsProvenance.Queried,
 		ColdMilliseconds: uint32(max(0, r.ColdUntil.Sub(now).Milliseconds())),
 	}
 }
@@ -28,10 +28,10 @@
 		Instance: registry.Instance{
 			ID: in.Id, Start: registry.Start(in.Start), Service: in.Service, Address: in.Address, FailureDomain: in.FailureDomain, Slots: int(in.Slots),
 			Leaving: in.Leaving, Sequence: in.Sequence, Weights: toWeights(in.Weights),
-			ColdUntil: coldUntil(in.ColdMilliseconds, now),
-			Told:      registry.Word{At: before(now, in.WeightsAgeMilliseconds), Asked: in.WeightsAsked, Via: from},
+			ColdUntil:         coldUntil(in.ColdMilliseconds, now),
+			WeightsProvenance: registry.Provenance{At: before(now, in.WeightsAgeMilliseconds), Queried: in.WeightsAsked, Via: from},
 		},
-		Silent: in.Silent, Left: in.Left, First: before(now, in.AgeMilliseconds),
+		Silent: in.Silent, Left: in.Left, FirstSeen: before(now, in.AgeMilliseconds),
 	}
 }
 
--- a/internal/transport/fleet/follower.go
+++ b/internal/transport/fleet/follower.go
@@ -165,7 +165,7 @@
 		if !slices.Contains(wanted, address) {
 			s.cancel()
 			delete(f.sources, address)
-			f.merged.Forget(address, clock.Now())
+			f.merged.DropSource(address, clock.Now())
 		}
 	}
 	f.forgetLost()
@@ -207,7 +207,7 @@
 	}
 	for address, s := range f.sources {
 		if reached && clock.Since(s.answered) > lostAfter {
-			f.merged.Forget(address, clock.Now())
+			f.merged.DropSource(address, clock.Now())
 			s.forgetInstances()
 		}
 	}
--- a/internal/transport/fleet/memory.go
+++ b/internal/transport/fleet/memory.go
@@ -104,7 +104,7 @@
 	now := clock.Now()
 	s.recalledEntries, s.recalledAt = int(in.Entries), now
 	for _, r := range in.Instances {
-		s.registry.Recall(toReport(r, "", now), now, recalledBeats*s.heartbeat)
+		s.registry.Restore(toReport(r, "", now), now, recalledBeats*s.heartbeat)
 	}
 	for _, f := range wire.ToFacts(in.Facts, now) {
 		s.facts.Merge(f)
--- a/internal/transport/fleet/source.go
+++ b/internal/transport/fleet/source.go
@@ -131,7 +131,7 @@
 func (s *Source) Hear(in registry.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.registry.Hear(in, clock.Now()) {
+	if !s.registry.RecordHeartbeat(in, clock.Now()) {
 		return
 	}
 	s.tell()
@@ -145,9 +145,9 @@
 
 // StartedAgain takes the end of an incarnation that showed when the next one of its id answered
 // in its place. The next one is known once it reports itself.
-func (s *Source) StartedAgain(err *registry.StartedAgainError) {
-	if err.Asked.Start != 0 && err.Answered > err.Asked.Start {
-		s.end(err.Asked, "instance_started_again")
+func (s *Source) StartedAgain(err *registry.RestartedError) {
+	if err.Expected.Start != 0 && err.ActualStart > err.Expected.Start {
+		s.end(err.Expected, "instance_started_again")
 	}
 }
 
@@ -208,7 +208,7 @@
 func (s *Source) Loaded(in registry.Instance, model string, version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.registry.Asked(in, model, version, clock.Now()) {
+	if !s.registry.RecordQueriedWeights(in, model, version, clock.Now()) {
 		return
 	}
 	s.tell()
@@ -283,7 +283,7 @@
 	missed := now.Sub(s.swept) - sweepInterval
 	if missed >= sweepInterval {
 		s.stood = now
-		s.registry.Excuse(missed, now)
+		s.registry.DiscountPause(missed, now)
 		for name, w := range s.entries {
 			w.at = w.at.Add(min(missed, now.Sub(w.at)))
 			s.entries[name] = w
--- a/internal/transport/fleet/watch.go
+++ b/internal/transport/fleet/watch.go
@@ -148,7 +148,7 @@
 		f.Log.Info().Str("event", "control_reached").Str("address", address).Uint64("epoch", out.Epoch).Msg("")
 	}
 	if s.epoch != out.Epoch {
-		f.merged.Restart(address)
+		f.merged.BeginResync(address)
 		s.restarted = true
 		s.stores = storesKnown{}
 		s.told.Reset()
@@ -167,10 +167,10 @@
 	for _, r := range out.Instances {
 		reports = append(reports, toReport(r, address, now))
 	}
-	f.merged.Take(address, reports, now)
+	f.merged.Merge(address, reports, now)
 	if s.restarted && out.Backlog == 0 {
 		s.restarted = false
-		f.merged.ForgetEarlier(address, now)
+		f.merged.EndResync(address, now)
 	}
 	switch {
 	case caughtUp:
--- a/internal/transport/loads/loads.go
+++ b/internal/transport/loads/loads.go
@@ -47,7 +47,7 @@
 // Engines is the client for engines.
 type Engines interface {
 	// Usage returns the number of requests that wait at an engine and how much of its memory is
-	// in use. The error is a registry.StartedAgainError when the engine has restarted since.
+	// in use. The error is a registry.RestartedError when the engine has restarted since.
 	Usage(ctx context.Context, in registry.Instance) (balance.EngineLoad, error)
 }
 
@@ -138,7 +138,7 @@
 // usage polls one engine and records whether it responds.
 func (p *Poller) usage(ctx context.Context, in registry.Instance) (balance.EngineLoad, error) {
 	load, err := p.Engines.Usage(ctx, in)
-	var again *registry.StartedAgainError
+	var again *registry.RestartedError
 	if errors.As(err, &again) {
 		p.Source.StartedAgain(again)
 	}
--- a/internal/transport/orders/engines.go
+++ b/internal/transport/orders/engines.go
@@ -28,7 +28,7 @@
 
 // Engines is the client for registered engines.
 type Engines interface {
-	// Report queries the state of an engine. The error is a registry.StartedAgainError when the
+	// Report queries the state of an engine. The error is a registry.RestartedError when the
 	// engine has restarted since.
 	Report(ctx context.Context, in registry.Instance) (EngineReport, error)
 	Load(ctx context.Context, in registry.Instance, order LoadOrder) error
--- a/internal/transport/orders/registered.go
+++ b/internal/transport/orders/registered.go
@@ -224,7 +224,7 @@
 	e.mu.Unlock()
 	if due {
 		report, err := e.report(ctx, in)
-		var again *registry.StartedAgainError
+		var again *registry.RestartedError
 		if errors.As(err, &again) {
 			e.Source.StartedAgain(again)
 		}
--- a/internal/transport/serving/weights_known.go
+++ b/internal/transport/serving/weights_known.go
@@ -16,7 +16,7 @@
 	pinned uint64
 	// believed is the version that the engine was believed to have, and source how that was known.
 	believed uint64
-	source   registry.Word
+	source   registry.Provenance
 	// history holds the versions known to have been announced, and required is the oldest on which
 	// a request might begin.
 	history  weights.History
@@ -30,7 +30,7 @@
 	now := clock.Now()
 	view := j.server.View()
 	return weightsSnapshot{
-		pinned: pinned, believed: j.instance.Weights[model], source: j.instance.Told,
+		pinned: pinned, believed: j.instance.Weights[model], source: j.instance.WeightsProvenance,
 		history: view.Named[model], required: j.server.requiredWeights(view, model, now), at: now,
 	}
 }
@@ -43,7 +43,7 @@
 		return line
 	}
 	by := "heartbeat"
-	if k.source.Asked {
+	if k.source.Queried {
 		by = "question"
 	}
 	line = line.Uint64("weights_sent", k.pinned).Uint64("weights_believed", k.believed).Str("weights_by", by).Str("weights_from", k.source.Via).
