--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	folder := r.replica.Folder
-	p.log.Info().Str("event", "control_starts").Str("name", s.Name).Str("incarnation", folder.Incarnation()).Bool("blank", folder.Fresh()).Bool("first_start", s.FirstStart).Msg("")
+	p.log.Info().Str("event", "control_starts").Str("name", s.Name).Str("incarnation", folder.Incarnation()).Bool("blank", folder.Created()).Bool("first_start", s.FirstStart).Msg("")
 	err = r.run(p.ctx, listeners[0], listeners[2])
 	p.log.Info().Str("event", "control_stopped").Msg("")
 	return err
--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -63,7 +63,7 @@
 		ID: id, Address: advertised(id, peers, listener), Peers: peers, Folder: folder,
 		Restart: restart, Ledger: ledger, Listener: listener, Log: logger,
 	}
-	logger.Info().Str("event", "control_serves").Uint64("id", id).Str("address", r.Address).Str("incarnation", folder.Incarnation()).Bool("blank", folder.Fresh()).Int64("cut_bytes", folder.Cut()).Msg("")
+	logger.Info().Str("event", "control_serves").Uint64("id", id).Str("address", r.Address).Str("incarnation", folder.Incarnation()).Bool("blank", folder.Created()).Int64("cut_bytes", folder.TruncatedBytes()).Msg("")
 	return r.Run(ctx)
 }
 
--- a/internal/state/disk/disk.go
+++ b/internal/state/disk/disk.go
@@ -57,9 +57,9 @@
 	size  int64
 	cut   int64
 	image *command.Image
-	// Before, when set, is asked before each write, and its error stands for the
+	// BeforeWrite, when set, is asked before each write, and its error stands for the
 	// disk's; tests use it as a full disk.
-	Before func() error
+	BeforeWrite func() error
 }
 
 // Open opens a data folder, and makes it when it is not there. entries receives
@@ -99,17 +99,17 @@
 // Incarnation returns the name that this folder has for as long as it exists.
 func (f *Folder) Incarnation() string { return f.incarnation }
 
-// Fresh reports whether this Open made the folder's incarnation.
-func (f *Folder) Fresh() bool { return f.fresh }
+// Created reports whether this Open made the folder's incarnation.
+func (f *Folder) Created() bool { return f.fresh }
 
 // Image returns the stored snapshot, or nil when there is none.
 func (f *Folder) Image() *command.Image { return f.image }
 
-// Cut returns how many bytes of a torn tail Open dropped.
-func (f *Folder) Cut() int64 { return f.cut }
+// TruncatedBytes returns how many bytes of a torn tail Open dropped.
+func (f *Folder) TruncatedBytes() int64 { return f.cut }
 
-// Size returns the length of the log in bytes.
-func (f *Folder) Size() int64 { return f.size }
+// LogSize returns the length of the log in bytes.
+func (f *Folder) LogSize() int64 { return f.size }
 
 // Close closes the log and lets another process open the folder.
 func (f *Folder) Close() error {
@@ -247,8 +247,8 @@
 	if err != nil {
 		return errors.Wrap(err, "encode a frame")
 	}
-	if f.Before != nil {
-		if err := f.Before(); err != nil {
+	if f.BeforeWrite != nil {
+		if err := f.BeforeWrite(); err != nil {
 			return err
 		}
 	}
@@ -272,8 +272,8 @@
 	return err
 }
 
-// Save stores a snapshot durably.
-func (f *Folder) Save(image *command.Image) error {
+// SaveSnapshot stores a snapshot durably.
+func (f *Folder) SaveSnapshot(image *command.Image) error {
 	payload, err := proto.Marshal(image)
 	if err != nil {
 		return errors.Wrap(err, "encode a snapshot")
@@ -281,9 +281,9 @@
 	return f.replace(snapshotFile, makeFrame(payload))
 }
 
-// Rewrite replaces the log by one frame, which holds what the snapshot does not.
+// RewriteLog replaces the log by one frame, which holds what the snapshot does not.
 // It must follow the Save that made the rest needless.
-func (f *Folder) Rewrite(v *command.Frame) error {
+func (f *Folder) RewriteLog(v *command.Frame) error {
 	payload, err := proto.Marshal(v)
 	if err != nil {
 		return errors.Wrap(err, "encode a frame")
@@ -305,17 +305,17 @@
 
 // replace puts a file's whole content in place durably.
 func (f *Folder) replace(name string, content []byte) error {
-	if f.Before != nil {
-		if err := f.Before(); err != nil {
+	if f.BeforeWrite != nil {
+		if err := f.BeforeWrite(); err != nil {
 			return err
 		}
 	}
-	return Replace(f.file(name), content)
+	return WriteFileAtomic(f.file(name), content)
 }
 
-// Replace puts a file's whole content in place durably: after a crash the file holds
+// WriteFileAtomic puts a file's whole content in place durably: after a crash the file holds
 // either what it held or all of the new.
-func Replace(path string, content []byte) error {
+func WriteFileAtomic(path string, content []byte) error {
 	temporary := path + temporarySuffix
 	err := writeSynced(temporary, content)
 	if err != nil {
--- a/internal/transport/control/disk_test.go
+++ b/internal/transport/control/disk_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	var full atomic.Bool
-	folder.Before = func() error {
+	folder.BeforeWrite = func() error {
 		if full.Load() {
 			return errors.New("no space left on device")
 		}
--- a/internal/transport/control/effects.go
+++ b/internal/transport/control/effects.go
@@ -219,7 +219,7 @@
 // count: entries that are not applied yet may be longer than the bound, and would have
 // every round write another snapshot.
 func (r *Replica) compact() {
-	if r.Folder.Size()-r.rewritten < r.SnapshotBytes || len(r.unsynced) > 0 {
+	if r.Folder.LogSize()-r.rewritten < r.SnapshotBytes || len(r.unsynced) > 0 {
 		return
 	}
 	data, err := r.Ledger.Marshal()
@@ -230,7 +230,7 @@
 	index := r.appliedIndex
 	term, _ := r.machine.TermOf(index)
 	image := replication.Snapshot{Index: index, Term: term, Members: r.machine.MembersAt(index), Data: data}
-	err = r.Folder.Save(toImage(image))
+	err = r.Folder.SaveSnapshot(toImage(image))
 	if err != nil {
 		r.noteDisk(err)
 		return
@@ -246,25 +246,25 @@
 // rewrite shortens the log file to what follows a stored snapshot.
 func (r *Replica) rewrite(index uint64) {
 	p := replication.Persist{Term: r.machine.Term(), Vote: r.machine.Vote(), Entries: r.machine.EntriesAfter(index)}
-	err := r.Folder.Rewrite(toFrame(p))
+	err := r.Folder.RewriteLog(toFrame(p))
 	if err != nil {
 		r.noteDisk(err)
 		return
 	}
-	r.rewritten = r.Folder.Size()
+	r.rewritten = r.Folder.LogSize()
 }
 
 func (r *Replica) saveImage(s replication.Snapshot) error {
-	err := r.Folder.Save(toImage(s))
+	err := r.Folder.SaveSnapshot(toImage(s))
 	if err != nil {
 		return err
 	}
 	p := replication.Persist{Term: r.machine.Term(), Vote: r.machine.Vote()}
-	err = r.Folder.Rewrite(toFrame(p))
+	err = r.Folder.RewriteLog(toFrame(p))
 	if err != nil {
 		return err
 	}
-	r.rewritten = r.Folder.Size()
+	r.rewritten = r.Folder.LogSize()
 	return nil
 }
 
--- a/internal/transport/control/found.go
+++ b/internal/transport/control/found.go
@@ -91,7 +91,7 @@
 		panic("control: an empty ledger failed to encode: " + err.Error())
 	}
 	s := replication.Snapshot{Index: 1, Term: 1, Members: in.members, Data: data}
-	err = r.Folder.Save(toImage(s))
+	err = r.Folder.SaveSnapshot(toImage(s))
 	if err != nil {
 		r.noteDisk(err)
 		return
--- a/internal/transport/feed/keep.go
+++ b/internal/transport/feed/keep.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return errors.Wrap(err, "make the data folder")
 		}
-		return disk.Replace(filepath.Join(folder, keptFile), b)
+		return disk.WriteFileAtomic(filepath.Join(folder, keptFile), b)
 	}
 }
 
--- a/internal/transport/fleet/memory.go
+++ b/internal/transport/fleet/memory.go
@@ -40,7 +40,7 @@
 			if text == nil {
 				continue
 			}
-			err := disk.Replace(path, text)
+			err := disk.WriteFileAtomic(path, text)
 			if err == nil {
 				written = change
 			}
