--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -102,9 +102,9 @@
 	// Ends is how many distinct instances ended under it and count, and Rounds how many of these
 	// followed one another, each sent after the one before had ended.
 	Ends, Rounds int
-	// LastEnd is when the last of them was seen; Answered is when it last came to a good end,
+	// LastEnd is when the last of them was seen; LastSuccess is when it last came to a good end,
 	// zero if that is not known.
-	LastEnd, Answered time.Time
+	LastEnd, LastSuccess time.Time
 	// Held says that it is not sent until Until, but for tries.
 	Held  bool
 	Until time.Time
@@ -158,16 +158,16 @@
 
 // sure reports whether a request was lately seen to be harmless.
 func (b *FactSet) sure(c RequestStatus, now time.Time) bool {
-	return !c.Answered.IsZero() && now.Sub(c.Answered) < sureFor
+	return !c.LastSuccess.IsZero() && now.Sub(c.LastSuccess) < sureFor
 }
 
 // Status returns what is known of a request.
 func (b *FactSet) Status(d Digest, entries int, now time.Time) RequestStatus {
 	var c RequestStatus
 	if answered, ok := b.facts[Key{digest: d}]; ok {
-		c.Answered = answered.fact.When()
+		c.LastSuccess = answered.fact.When()
 	}
-	ends := b.standing(d, c.Answered)
+	ends := b.standing(d, c.LastSuccess)
 	c.Ends = len(ends)
 	if c.Ends == 0 {
 		return c
@@ -227,9 +227,9 @@
 func (b *FactSet) isDeadly(d Digest, now time.Time) bool {
 	var c RequestStatus
 	if answered, ok := b.facts[Key{digest: d}]; ok {
-		c.Answered = answered.fact.When()
+		c.LastSuccess = answered.fact.When()
 	}
-	return !b.sure(c, now) && len(b.standing(d, c.Answered)) >= endsToHold
+	return !b.sure(c, now) && len(b.standing(d, c.LastSuccess)) >= endsToHold
 }
 
 // rounds returns how many ends followed one another: the largest number of which each request
--- a/internal/transport/fleet/facts_test.go
+++ b/internal/transport/fleet/facts_test.go
@@ -103,7 +103,7 @@
 	wait(t, "the other entry's answer is known", func() bool {
 		_, c, done := a.Begin(deadlyRequest)
 		done()
-		return !c.Answered.IsZero()
+		return !c.LastSuccess.IsZero()
 	})
 	see(a, "i-2")
 	see(a, "i-3")
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -108,8 +108,8 @@
 	if c.Held {
 		line = line.Dur("held_ms", c.Until.Sub(now))
 	}
-	if !c.Answered.IsZero() {
-		line = line.Dur("answered_age_ms", now.Sub(c.Answered))
+	if !c.LastSuccess.IsZero() {
+		line = line.Dur("answered_age_ms", now.Sub(c.LastSuccess))
 	}
 	return line
 }
