--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -12,39 +12,41 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// FactSet holds the facts. Make one with New. It is not safe for concurrent use.
+// FactSet is a set of facts, merged from all entries. Make one with New. It is not safe for
+// concurrent use.
 type FactSet struct {
-	// seed gives the turns of different entries.
+	// seed makes the turns of entries differ.
 	seed uint64
-	// facts holds at most mostFacts facts, by what they are about.
+	// facts holds at most maxFacts facts, by key.
 	facts map[Key]*entry
-	// ends lists the keys of the ends of each digest, and ended counts those of each incarnation.
-	ends  map[Digest][]Key
-	ended map[registry.Incarnation]int
-	// over holds the incarnations that have ended for certain; a word of them was another's, which
-	// has their id or address now.
-	over map[registry.Incarnation]bool
-	// log holds what the facts are about in the order of their changes, and sum is the same for
-	// books that know of the same.
-	log changes.Log[Key]
-	sum uint64
-	// running counts the attempts under way here, and tried says when a request that was held was
-	// last tried here. A digest without either is in neither.
+	// ends holds the keys of the InstanceEnded facts of each digest, and endCounts the number of
+	// those facts for each incarnation.
+	ends      map[Digest][]Key
+	endCounts map[registry.Incarnation]int
+	// confirmed holds the incarnations that have certainly ended. A later response under such an
+	// identity comes from another process that has taken over its ID or address.
+	confirmed map[registry.Incarnation]bool
+	// log holds the keys of the facts in the order of their changes. checksum is equal for sets
+	// that hold the same keys.
+	log      changes.Log[Key]
+	checksum uint64
+	// running counts the attempts in flight at this entry, and lastTry holds when this entry last
+	// tried a held request. Both omit digests without any.
 	running map[Digest]int
-	tried   map[Digest]time.Time
+	lastTry map[Digest]time.Time
 }
 
 type entry struct {
 	fact Fact
-	// change is the number of its last change.
+	// change is the number of the fact's last change.
 	change uint64
 }
 
-// New returns a book without facts.
+// New returns an empty set.
 func New(seed uint64) *FactSet {
 	b := &FactSet{
-		seed: seed, facts: map[Key]*entry{}, ends: map[Digest][]Key{}, ended: map[registry.Incarnation]int{},
-		over: map[registry.Incarnation]bool{}, running: map[Digest]int{}, tried: map[Digest]time.Time{},
+		seed: seed, facts: map[Key]*entry{}, ends: map[Digest][]Key{}, endCounts: map[registry.Incarnation]int{},
+		confirmed: map[registry.Incarnation]bool{}, running: map[Digest]int{}, lastTry: map[Digest]time.Time{},
 	}
 	b.log.Newest = func(k Key) uint64 {
 		if e := b.facts[k]; e != nil {
@@ -55,22 +57,22 @@
 	return b
 }
 
-// Merge joins a fact; it reports whether that was news.
+// Merge adds a fact to the set; it reports whether the fact was new.
 func (b *FactSet) Merge(fact Fact) bool {
 	k := fact.Key()
 	known, ok := b.facts[k]
-	if ok && !b.replaces(fact, known.fact) || b.toldOtherwise(fact) {
+	if ok && !b.replaces(fact, known.fact) || b.isDuplicate(fact) {
 		return false
 	}
-	if !ok && len(b.facts) >= mostFacts && !b.makeRoom(fact) {
+	if !ok && len(b.facts) >= maxFacts && !b.evictFor(fact) {
 		return false
 	}
 	if _, ended := fact.(InstanceEnded); ended && !ok {
 		b.ends[k.digest] = append(b.ends[k.digest], k)
-		b.ended[k.of]++
+		b.endCounts[k.incarnation]++
 	}
 	if !ok {
-		b.sum ^= k.sum()
+		b.checksum ^= k.checksum()
 	}
 	e := &entry{fact: fact}
 	b.facts[k] = e
@@ -78,22 +80,23 @@
 	return true
 }
 
-// toldOtherwise reports whether an end is known under another name: where instances do not tell
-// when they started, each entry that sees an end names the incarnation by itself. What was sent
-// after an end had been seen ran in another life.
-func (b *FactSet) toldOtherwise(fact Fact) bool {
+// isDuplicate reports whether an end is known under another identity. If instances do not report
+// when they started, each entry that sees an end makes up an identity for the incarnation. A
+// request that was sent after the known end was seen ran in another incarnation.
+func (b *FactSet) isDuplicate(fact Fact) bool {
 	end, ok := fact.(InstanceEnded)
 	if !ok || end.Incarnation.Start >= 0 {
 		return false
 	}
 	return slices.ContainsFunc(b.ends[end.Digest], func(k Key) bool {
 		other := b.facts[k].fact.(InstanceEnded)
-		return k.of != end.Incarnation && k.of.ID == end.Incarnation.ID && k.of.Start < 0 && !end.Sent.After(other.At) && !other.Sent.After(end.At)
+		return k.incarnation != end.Incarnation && k.incarnation.ID == end.Incarnation.ID && k.incarnation.Start < 0 && !end.Sent.After(other.At) && !other.Sent.After(end.At)
 	})
 }
 
-// replaces reports whether a fact is to be kept in place of an older one of its key. Of an end
-// the first report is kept, unless it was refuted since: whoever sees it later has a slower sign.
+// replaces reports whether a fact replaces an older one with the same key. Of an instance's end,
+// the first report is kept unless it has been refuted since, because later reports come from slower
+// signs of the end.
 func (b *FactSet) replaces(newer, older Fact) bool {
 	if e, ended := older.(InstanceEnded); ended {
 		return b.refuted(e) && newer.When().After(e.At)
@@ -101,10 +104,10 @@
 	return newer.When().After(older.When().Add(TimeTolerance))
 }
 
-// Change returns the number of the newest change.
+// Change returns the number of the latest change.
 func (b *FactSet) Change() uint64 { return b.log.Last() }
 
-// After lists the facts that changed after a change, by their changes, the oldest first.
+// After iterates over the facts that changed after the given change, oldest first.
 func (b *FactSet) After(change uint64) iter.Seq2[uint64, Fact] {
 	return func(yield func(uint64, Fact) bool) {
 		for number, k := range b.log.After(change) {
@@ -115,11 +118,11 @@
 	}
 }
 
-// Since returns up to so many facts that changed after a change, in the order of their changes,
-// and the number of the last of these changes.
-func (b *FactSet) Since(change uint64, most int) (facts []Fact, last uint64) {
+// Since returns up to limit facts that changed after the given change, oldest first, and the number
+// of the last change that is included.
+func (b *FactSet) Since(change uint64, limit int) (facts []Fact, last uint64) {
 	for number, f := range b.After(change) {
-		if len(facts) == most {
+		if len(facts) == limit {
 			return facts, last
 		}
 		facts = append(facts, f)
@@ -128,71 +131,76 @@
 	return facts, b.Change()
 }
 
-// IsSuspected reports whether any end counts against a request.
+// IsSuspected reports whether any end is known for a request.
 func (b *FactSet) IsSuspected(d Digest) bool { return len(b.ends[d]) > 0 }
 
-// PresumedEnded reports whether an incarnation is taken for ended, which is not certain.
-func (b *FactSet) PresumedEnded(of registry.Incarnation) bool { return b.ended[of] > 0 && !b.over[of] }
+// PresumedEnded reports whether an incarnation is presumed to have ended, without that being
+// confirmed.
+func (b *FactSet) PresumedEnded(incarnation registry.Incarnation) bool {
+	return b.endCounts[incarnation] > 0 && !b.confirmed[incarnation]
+}
 
-// UnconfirmedEnds returns the ends of which it is not certain that the instance has ended.
+// UnconfirmedEnds returns the ends that are not confirmed.
 func (b *FactSet) UnconfirmedEnds() []InstanceEnded {
 	var out []InstanceEnded
 	for _, e := range b.facts {
-		if end, ok := e.fact.(InstanceEnded); ok && !b.over[end.Incarnation] {
+		if end, ok := e.fact.(InstanceEnded); ok && !b.confirmed[end.Incarnation] {
 			out = append(out, end)
 		}
 	}
 	return out
 }
 
-// ConfirmEnd notes that an incarnation has ended for certain: another one has its id or its address.
-func (b *FactSet) ConfirmEnd(of registry.Incarnation) {
-	if b.ended[of] > 0 {
-		b.over[of] = true
+// ConfirmEnd records that an incarnation has certainly ended, because another one has its ID or
+// address.
+func (b *FactSet) ConfirmEnd(incarnation registry.Incarnation) {
+	if b.endCounts[incarnation] > 0 {
+		b.confirmed[incarnation] = true
 	}
 }
 
-// refuted reports whether the instance answered what was sent to it after its end was seen, as
-// one does whose connections were refused by something between.
+// refuted reports whether the instance answered a request that was sent after its end was seen.
+// That happens if something in between refused its connections.
 func (b *FactSet) refuted(e InstanceEnded) bool {
-	heard, ok := b.facts[Key{of: e.Incarnation}]
-	return ok && !b.over[e.Incarnation] && heard.fact.When().After(e.At)
+	response, ok := b.facts[Key{incarnation: e.Incarnation}]
+	return ok && !b.confirmed[e.Incarnation] && response.fact.When().After(e.At)
 }
 
-// Sweep forgets what is old and concerns no request that is held.
+// Sweep removes the facts that are older than factRetention and do not concern a held request.
 func (b *FactSet) Sweep(entries int, now time.Time) {
 	for k, e := range b.facts {
-		if now.Sub(e.fact.When()) > factLife && !b.keeps(k, entries, now) {
-			b.drop(k)
+		if now.Sub(e.fact.When()) > factRetention && !b.isHeld(k, entries, now) {
+			b.remove(k)
 		}
 	}
-	for d, at := range b.tried {
-		if now.Sub(at) > factLife {
-			delete(b.tried, d)
+	for d, at := range b.lastTry {
+		if now.Sub(at) > factRetention {
+			delete(b.lastTry, d)
 		}
 	}
 }
 
-// keeps reports whether a fact is an end of a request whose pause is not over for long.
-func (b *FactSet) keeps(k Key, entries int, now time.Time) bool {
+// isHeld reports whether a fact is an end under a held request whose pause has not been over for
+// factRetention.
+func (b *FactSet) isHeld(k Key, entries int, now time.Time) bool {
 	if k.digest == (Digest{}) {
 		return false
 	}
 	c := b.Status(k.digest, entries, now)
-	return c.Held && now.Sub(c.Until) < factLife
+	return c.Held && now.Sub(c.Until) < factRetention
 }
 
-func (b *FactSet) drop(k Key) {
+func (b *FactSet) remove(k Key) {
 	_, ended := b.facts[k].fact.(InstanceEnded)
 	delete(b.facts, k)
-	b.sum ^= k.sum()
+	b.checksum ^= k.checksum()
 	if !ended {
 		return
 	}
-	b.ended[k.of]--
-	if b.ended[k.of] == 0 {
-		delete(b.ended, k.of)
-		delete(b.over, k.of)
+	b.endCounts[k.incarnation]--
+	if b.endCounts[k.incarnation] == 0 {
+		delete(b.endCounts, k.incarnation)
+		delete(b.confirmed, k.incarnation)
 	}
 	left := slices.DeleteFunc(b.ends[k.digest], func(other Key) bool { return other == k })
 	if len(left) == 0 {
@@ -202,11 +210,11 @@
 	b.ends[k.digest] = left
 }
 
-// makeRoom drops the oldest fact of a request with few ends, so that whoever has many bodies end an
-// instance each drives out no request that is held. A fact that is not much newer is not taken
-// in its place, unless it is of a request that is suspected: of more facts than books hold, each
-// would drop what another one tells it again, and so on.
-func (b *FactSet) makeRoom(fact Fact) bool {
+// evictFor removes the oldest fact, preferring requests with few ends, so that a caller whose many
+// different bodies each end an instance does not evict a held request. A fact that is not much
+// newer than the oldest is not added, unless its request is suspected: with more facts than fit in
+// a set, the entries would otherwise evict what they send each other again and again.
+func (b *FactSet) evictFor(fact Fact) bool {
 	var oldest Key
 	var at time.Time
 	few := false
@@ -216,21 +224,22 @@
 			oldest, at, few = k, e.fact.When(), isFew
 		}
 	}
-	if !b.IsSuspected(fact.Key().digest) && fact.When().Sub(at) < replacedAfter {
+	if !b.IsSuspected(fact.Key().digest) && fact.When().Sub(at) < minReplaceAge {
 		return false
 	}
-	b.drop(oldest)
+	b.remove(oldest)
 	return true
 }
 
-// Checksum is the same for books that know of the same, whenever they learned it.
-func (b *FactSet) Checksum() uint64 { return b.sum }
+// Checksum returns a value that is equal for sets that hold the same keys, independent of the order
+// in which they were merged.
+func (b *FactSet) Checksum() uint64 { return b.checksum }
 
-func (k Key) sum() uint64 {
-	return xxhash.Sum64String(k.digest.String() + k.of.ID + strconv.FormatInt(int64(k.of.Start), 16))
+func (k Key) checksum() uint64 {
+	return xxhash.Sum64String(k.digest.String() + k.incarnation.ID + strconv.FormatInt(int64(k.incarnation.Start), 16))
 }
 
-// Contains reports whether a fact of a key is known, and Len how many facts are.
+// Contains reports whether the set has a fact with the key.
 func (b *FactSet) Contains(k Key) bool { return b.facts[k] != nil }
 
 // Len returns the number of facts.
--- a/internal/coordination/quarantine/book_test.go
+++ b/internal/coordination/quarantine/book_test.go
@@ -9,13 +9,13 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// Many entries may see more ends than a book holds. What one book drops to make room, another tells
-// it again; books that tell each other all they know come to rest all the same.
-func TestFullBooksComeToRest(t *testing.T) {
-	const books, each, turns = 6, 600, 20
+// Guards against endless exchange of facts: entries may see more ends than a set holds, and what
+// one set evicts another one sends it again. Sets that exchange all their facts must converge.
+func TestFullFactSetsConverge(t *testing.T) {
+	const sets, each, turns = 6, 600, 20
 	now := time.Unix(1e9, 0)
 	var all []*quarantine.FactSet
-	for b := range uint64(books) {
+	for b := range uint64(sets) {
 		book := quarantine.New(b)
 		for n := range uint64(each) {
 			id := b*each + n
@@ -23,21 +23,21 @@
 		}
 		all = append(all, book)
 	}
-	news := 0
+	merged := 0
 	for range turns {
-		news = 0
+		merged = 0
 		for _, from := range all {
 			facts, _ := from.Since(0, from.Len())
 			for _, to := range all {
 				for _, f := range facts {
 					if to.Merge(f) {
-						news++
+						merged++
 					}
 				}
 			}
 		}
 	}
-	if news > 0 {
-		t.Errorf("after %d turns %d facts are still news", turns, news)
+	if merged > 0 {
+		t.Errorf("after %d turns, %d facts are still new", turns, merged)
 	}
 }
--- a/internal/coordination/quarantine/facts.go
+++ b/internal/coordination/quarantine/facts.go
@@ -6,45 +6,46 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// Fact is something that an entry saw. It is one of Ended, Answered or Heard. Facts are joined
-// from all entries; in which order they come, and how often, makes no difference.
+// Fact is an observation by an entry. It is one of InstanceEnded, RequestSucceeded or
+// InstanceResponded. Facts are merged from all entries; merging is commutative and idempotent.
 type Fact interface {
-	// Key returns what the fact is about.
+	// Key returns the key of the fact.
 	Key() Key
-	// When returns when it was seen.
+	// When returns when it was observed.
 	When() time.Time
 }
 
-// InstanceEnded says that an instance ended while a request was there. It does not say that the request
-// is to blame: others may have been there too.
+// InstanceEnded means that an instance ended while it ran a request. The request is not necessarily
+// the cause: others may have run there too.
 type InstanceEnded struct {
 	Digest Digest
-	// Incarnation is the instance's incarnation, and Address where it was. Where instances do not tell when
-	// they started, its start is the time of the end in Unix milliseconds, below 0.
+	// Incarnation identifies the instance, and Address is where it was. If instances do not report
+	// when they started, its start is the time of the end in Unix milliseconds, as a negative
+	// number.
 	Incarnation registry.Incarnation
 	Address     string
-	// Sent is when the request was sent there, and At when the end was seen; Sent is not after At.
+	// Sent is when the request was sent, and At when the end was seen; Sent is not after At.
 	Sent, At time.Time
 }
 
-// RequestSucceeded says that an instance ran a request to a good end.
+// RequestSucceeded means that an instance answered a request successfully.
 type RequestSucceeded struct {
 	Digest Digest
 	At     time.Time
 }
 
-// InstanceResponded says that an incarnation answered what was sent to it at a time, though it had been taken
-// for ended before.
+// InstanceResponded means that an incarnation that was presumed to have ended answered a request.
+// At is when that request was sent.
 type InstanceResponded struct {
 	Incarnation registry.Incarnation
 	At          time.Time
 }
 
-// Key names what a fact is about; of two facts with the same key one is kept. A request's good
-// answer has no incarnation, and an incarnation's word no digest.
+// Key identifies the subject of a fact; of two facts with the same key, one is kept. The key of
+// RequestSucceeded has no incarnation, and that of InstanceResponded no digest.
 type Key struct {
-	digest Digest
-	of     registry.Incarnation
+	digest      Digest
+	incarnation registry.Incarnation
 }
 
 // Key returns the request and the incarnation.
@@ -54,13 +55,13 @@
 func (f RequestSucceeded) Key() Key { return Key{digest: f.Digest} }
 
 // Key returns the incarnation.
-func (f InstanceResponded) Key() Key { return Key{of: f.Incarnation} }
+func (f InstanceResponded) Key() Key { return Key{incarnation: f.Incarnation} }
 
 // When returns when the end was seen.
 func (f InstanceEnded) When() time.Time { return f.At }
 
-// When returns when the answer was whole.
+// When returns when the answer was complete.
 func (f RequestSucceeded) When() time.Time { return f.At }
 
-// When returns when what it answered was sent.
+// When returns when the answered request was sent.
 func (f InstanceResponded) When() time.Time { return f.At }
--- a/internal/coordination/quarantine/mutants_test.go
+++ b/internal/coordination/quarantine/mutants_test.go
@@ -10,11 +10,11 @@
 // mutantPause is how long the mutants hold a request.
 const mutantPause = 4 * time.Second
 
-// oneEnd takes one end for proof.
-type oneEnd struct{ *quarantine.FactSet }
+// holdAfterOneEnd holds a request after a single end.
+type holdAfterOneEnd struct{ *quarantine.FactSet }
 
-// Decide holds what an instance ended under.
-func (m oneEnd) Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict {
+// Decide holds a request under which an instance ended.
+func (m holdAfterOneEnd) Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict {
 	c := m.Status(d, entries, now)
 	if left := c.LastEnd.Add(mutantPause).Sub(now); c.Ends > 0 && left > 0 {
 		return quarantine.Hold{RetryAfter: left, EndsInstances: true}
@@ -22,19 +22,19 @@
 	return m.FactSet.Decide(d, entries, now)
 }
 
-// allThere takes all that was at the instances of a request that is held for as guilty as it is.
-type allThere struct {
+// holdAllPresent holds every request that ran on the same instances as a held request.
+type holdAllPresent struct {
 	*quarantine.FactSet
 	at    map[registry.Incarnation][]quarantine.Digest
 	ended map[quarantine.Digest][]registry.Incarnation
 }
 
-func newAllThere(seed uint64) allThere {
-	return allThere{quarantine.New(seed), map[registry.Incarnation][]quarantine.Digest{}, map[quarantine.Digest][]registry.Incarnation{}}
+func newHoldAllPresent(seed uint64) holdAllPresent {
+	return holdAllPresent{quarantine.New(seed), map[registry.Incarnation][]quarantine.Digest{}, map[quarantine.Digest][]registry.Incarnation{}}
 }
 
-// Merge notes who was where.
-func (m allThere) Merge(f quarantine.Fact) bool {
+// Merge records which requests ran on which instance.
+func (m holdAllPresent) Merge(f quarantine.Fact) bool {
 	if e, ok := f.(quarantine.InstanceEnded); ok {
 		m.at[e.Incarnation] = append(m.at[e.Incarnation], e.Digest)
 		m.ended[e.Digest] = append(m.ended[e.Digest], e.Incarnation)
@@ -42,8 +42,8 @@
 	return m.FactSet.Merge(f)
 }
 
-// Decide holds what was where a held request was.
-func (m allThere) Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict {
+// Decide holds a request that ran on the same instance as a held one.
+func (m holdAllPresent) Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict {
 	for _, of := range m.ended[d] {
 		for _, other := range m.at[of] {
 			if c := m.Status(other, entries, now); c.Held && now.Before(c.Until) {
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -12,127 +12,129 @@
 )
 
 const (
-	// settled is after how long from the third end on every entry knows of it, by the users' rule, and
-	// mostLater how many sends there may be after that on one day.
-	settled   = 3 * time.Second
-	mostLater = 3
-	day       = 90 * time.Second
-	// mostHeld is how many of a million harmless requests may be held, on days with far more
-	// trouble than an ordinary one. A caller whose request is held comes back, so it is not lost.
-	mostHeld = 5000
-	// mostEnds is how many instances one request may end on such a day in the mean: three, those
-	// that ran it at the same moment at other entries, and the tries after a pause.
-	mostEnds = 7.0
+	// propagationTime is the time after the third end by which every entry must know of it, and
+	// maxLaterSends how many sends there may be after that on one simulated day.
+	propagationTime = 3 * time.Second
+	maxLaterSends   = 3
+	day             = 90 * time.Second
+	// maxHeldPerMillion is how many of a million harmless requests may be held on days with far
+	// more failures than usual. A caller whose request is held retries, so the request is not lost.
+	maxHeldPerMillion = 5000
+	// maxMeanEnds is the mean number of instances that one request may end on such a day: three,
+	// those that ran it at the same moment for other entries, and those of the tries after a pause.
+	maxMeanEnds = 7.0
 )
 
-// totals are those of several days.
+// totals are sums over several days.
 type totals struct {
-	served, held, ends, deadly, worstLater int
+	served, held, ends, poison, maxLater int
 }
 
-// trouble plays days on which requests that end instances come beside harmless ones, while
-// instances end by themselves, many at once, or behind cuts, connections close, and entries start
-// again.
-func trouble(days int, newJudge func(uint64) judge, closedIsEnd bool) totals {
+// simulate runs days on which poison requests arrive among harmless ones, while instances end for
+// other reasons, many at once or seemingly because of partitions, connections close, and entries
+// restart.
+func simulate(days int, newDecider func(uint64) decider, closedIsEnd bool) totals {
 	var sum totals
 	for seed := range uint64(days) {
-		r := newReplay(seed, func(entry int) judge { return newJudge(uint64(entry) * 0x9e3779b97f4a7c15) })
+		r := newReplay(seed, func(entry int) decider { return newDecider(uint64(entry) * 0x9e3779b97f4a7c15) })
 		r.closedIsEnd = closedIsEnd
-		r.innocents(5 * time.Millisecond)
+		r.sendHarmless(5 * time.Millisecond)
 		r.play(5 * time.Second)
-		deadly := []quarantine.Digest{r.deadly(1<<62, 300*time.Millisecond), r.deadly(1<<62+1, 2*time.Second)}
-		r.each(5*time.Second, func() { r.power(1) })
-		r.each(20*time.Second, func() { r.power(10) })
-		r.each(20*time.Second, func() { r.cut(7, 3*time.Second) })
-		r.each(200*time.Millisecond, func() { r.drop(20) })
-		r.each(15*time.Second, r.restart)
+		poison := []quarantine.Digest{r.sendPoison(1<<62, 300*time.Millisecond), r.sendPoison(1<<62+1, 2*time.Second)}
+		r.every(5*time.Second, func() { r.powerFailure(1) })
+		r.every(20*time.Second, func() { r.powerFailure(10) })
+		r.every(20*time.Second, func() { r.partition(7, 3*time.Second) })
+		r.every(200*time.Millisecond, func() { r.dropConnections(20) })
+		r.every(15*time.Second, r.restartEntry)
 		r.play(day)
 		sum.served += r.served
 		sum.held += r.held
-		for _, d := range deadly {
-			sum.deadly++
+		for _, d := range poison {
+			sum.poison++
 			sum.ends += len(r.deaths[d])
-			sum.worstLater = max(sum.worstLater, r.later(d))
+			sum.maxLater = max(sum.maxLater, r.laterSends(d))
 		}
 	}
 	return sum
 }
 
-func newBook(seed uint64) judge { return quarantine.New(seed) }
+func newBook(seed uint64) decider { return quarantine.New(seed) }
 
-// later returns how often a request was sent after all were to know of its third end.
-func (r *replay) later(d quarantine.Digest) int {
+// laterSends returns how often a request was sent after all entries should know of its third end.
+func (r *replay) laterSends(d quarantine.Digest) int {
 	if len(r.deaths[d]) < 3 {
 		return 0
 	}
 	n := 0
 	for _, at := range r.sends[d] {
-		if at.After(r.deaths[d][2].Add(settled)) {
+		if at.After(r.deaths[d][2].Add(propagationTime)) {
 			n++
 		}
 	}
 	return n
 }
 
-// Requests that end instances are told apart from all others that are there when they do.
-func TestDeadlyRequestsAmongHarmlessOnes(t *testing.T) {
-	sum := trouble(8, newBook, false)
-	ends := float64(sum.ends) / float64(sum.deadly)
-	t.Logf("%d served, %d held; %.1f ends for each deadly request, at worst %d sends later", sum.served, sum.held, ends, sum.worstLater)
-	if sum.worstLater > mostLater || ends > mostEnds || sum.held*1_000_000 > mostHeld*sum.served {
-		t.Error("one of these is too high")
+// Poison requests are told apart from the harmless ones that run on the same instances.
+func TestPoisonRequestsAmongHarmlessOnes(t *testing.T) {
+	sum := simulate(8, newBook, false)
+	ends := float64(sum.ends) / float64(sum.poison)
+	t.Logf("%d served, %d held; %.1f ends per poison request, at most %d later sends", sum.served, sum.held, ends, sum.maxLater)
+	if sum.maxLater > maxLaterSends || ends > maxMeanEnds || sum.held*1_000_000 > maxHeldPerMillion*sum.served {
+		t.Error("a bound is exceeded")
 	}
 }
 
-// One request costs the instances to which it was sent before the third end was known everywhere,
-// and not one more until its first pause is over, however fast it comes and wherever.
+// The cost of a poison request is bounded by the instances it was sent to before every entry knew
+// of the third end. No further one is lost until its first pause is over, at any rate and at any
+// entry.
 func TestWorstCostOfOneRequest(t *testing.T) {
 	const firstPause = 4 * time.Second
 	for _, every := range []time.Duration{time.Second, 100 * time.Millisecond, 10 * time.Millisecond} {
-		t.Run(fmt.Sprint("each ", every), func(t *testing.T) {
+		t.Run(fmt.Sprint("every ", every), func(t *testing.T) {
 			worst := 0
 			for seed := range uint64(20) {
-				r := newReplay(seed, func(entry int) judge { return newBook(uint64(entry) + 1) })
-				d := r.deadly(1<<62, every)
+				r := newReplay(seed, func(entry int) decider { return newBook(uint64(entry) + 1) })
+				d := r.sendPoison(1<<62, every)
 				r.play(30 * time.Second)
 				if len(r.deaths[d]) < 3 {
-					t.Fatalf("seed %d: it ended %d instances", seed, len(r.deaths[d]))
+					t.Fatalf("seed %d: the request ended only %d instances", seed, len(r.deaths[d]))
 				}
 				third := r.deaths[d][2]
 				before := 0
 				for _, at := range r.sends[d] {
 					switch after := at.Sub(third); {
-					case after <= toOthers:
+					case after <= maxPropagation:
 						before++
 					case after < firstPause:
-						t.Errorf("seed %d: it was sent %s after the third end", seed, after)
+						t.Errorf("seed %d: sent %s after the third end", seed, after)
 					}
 				}
 				worst = max(worst, before)
 			}
-			t.Logf("sent at most %d times before its third end was known everywhere", worst)
+			t.Logf("sent at most %d times before every entry knew of the third end", worst)
 		})
 	}
 }
 
-// Each wrong way to read an end holds many more requests that harm nobody.
-func TestWrongReadingsHoldHarmlessRequests(t *testing.T) {
+// Each mutant, which interprets ends wrongly, holds many more harmless requests. This guards
+// against a simulation that would accept any decision.
+func TestMutantsHoldHarmlessRequests(t *testing.T) {
 	mutants := []struct {
 		name        string
-		newJudge    func(uint64) judge
+		newDecider  func(uint64) decider
 		closedIsEnd bool
 	}{
-		{"one end is proof", func(seed uint64) judge { return oneEnd{quarantine.New(seed)} }, false},
-		{"all that ran there are guilty", func(seed uint64) judge { return newAllThere(seed) }, false},
-		{"a closed connection is an end", newBook, true},
+		{"one end holds a request", func(seed uint64) decider { return holdAfterOneEnd{quarantine.New(seed)} }, false},
+		{"all requests on the instance are blamed", func(seed uint64) decider { return newHoldAllPresent(seed) }, false},
+		{"a closed connection counts as an end", newBook, true},
 	}
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			sum := trouble(1, m.newJudge, m.closedIsEnd)
+			sum := simulate(1, m.newDecider, m.closedIsEnd)
 			t.Logf("%d served, %d held", sum.served, sum.held)
-			if sum.held*1_000_000 <= mostHeld*sum.served {
-				t.Error("it passes for right")
+			if sum.held*1_000_000 <= maxHeldPerMillion*sum.served {
+				t.Error("the mutant holds no more harmless requests than the real implementation may")
 			}
 		})
 	}
@@ -140,16 +142,18 @@
 
 var start = time.Unix(1e9, 0)
 
-// at is a time of a test, in seconds.
+// at returns the time that many seconds after the start.
 func at(seconds float64) time.Time {
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func of(instance string) registry.Incarnation { return registry.Incarnation{ID: instance, Start: 1} }
+func incarnation(instance string) registry.Incarnation {
+	return registry.Incarnation{ID: instance, Start: 1}
+}
 
-// end is an end of an instance under request 1, which was sent half a second before.
+// end is the end of an instance under request 1, which was sent half a second earlier.
 func end(instance string, seconds float64) quarantine.Fact {
-	return quarantine.InstanceEnded{Digest: digestOf(1), Incarnation: of(instance), Address: instance, Sent: at(seconds - 0.5), At: at(seconds)}
+	return quarantine.InstanceEnded{Digest: digestOf(1), Incarnation: incarnation(instance), Address: instance, Sent: at(seconds - 0.5), At: at(seconds)}
 }
 
 func answered(seconds float64) quarantine.Fact {
@@ -160,28 +164,29 @@
 	cases := []struct {
 		name  string
 		facts []quarantine.Fact
-		// running is how many attempts are under way, and over names incarnations that ended for certain.
-		running int
-		over    []string
-		now     float64
-		want    string
+		// running is the number of attempts in flight, and confirmed names the incarnations whose
+		// end is confirmed.
+		running   int
+		confirmed []string
+		now       float64
+		want      string
 	}{
-		{"nothing is known", nil, 0, nil, 1, "send"},
+		{"no facts", nil, 0, nil, 1, "send"},
 		{"one end", []quarantine.Fact{end("a", 1)}, 0, nil, 2, "alone"},
-		{"one end, and it is under way", []quarantine.Fact{end("a", 1)}, 1, nil, 2, "hold 300ms under way"},
+		{"one end, another attempt in flight", []quarantine.Fact{end("a", 1)}, 1, nil, 2, "hold 300ms under way"},
 		{"two ends", []quarantine.Fact{end("a", 1), end("b", 2)}, 0, nil, 3, "alone"},
-		{"two ends, of which others may know more", []quarantine.Fact{end("a", 1), end("b", 2)}, 0, nil, 2.1, "hold 400ms ended"},
-		{"one end, told twice", []quarantine.Fact{end("a", 1), end("a", 2), end("a", 3)}, 0, nil, 3, "alone"},
-		{"three that followed one another", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3)}, 0, nil, 4, "hold 1m39s ended"},
-		{"three at once", []quarantine.Fact{end("a", 1), end("b", 1), end("c", 1)}, 0, nil, 2, "hold 3s ended"},
+		{"two ends, reports of other entries may follow", []quarantine.Fact{end("a", 1), end("b", 2)}, 0, nil, 2.1, "hold 400ms ended"},
+		{"one end, reported three times", []quarantine.Fact{end("a", 1), end("a", 2), end("a", 3)}, 0, nil, 3, "alone"},
+		{"three ends in sequence", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3)}, 0, nil, 4, "hold 1m39s ended"},
+		{"three ends at once", []quarantine.Fact{end("a", 1), end("b", 1), end("c", 1)}, 0, nil, 2, "hold 3s ended"},
 		{"the pause is over", []quarantine.Fact{end("a", 1), end("b", 1), end("c", 1)}, 0, nil, 6, "alone"},
-		{"the pause is over, and it is under way", []quarantine.Fact{end("a", 1), end("b", 1), end("c", 1)}, 1, nil, 6, "hold 300ms ended"},
-		{"a good answer since", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3), answered(4)}, 0, nil, 5, "send"},
-		{"a good answer between", []quarantine.Fact{end("a", 1), end("b", 2), answered(2.5), end("c", 3)}, 1, nil, 4, "send"},
-		{"many at once, of a harmless one", []quarantine.Fact{answered(0), end("a", 1), end("b", 1), end("c", 1), end("d", 1)}, 1, nil, 2, "send"},
-		{"three in a row, once harmless", []quarantine.Fact{answered(0), end("a", 1), end("b", 2), end("c", 3)}, 0, nil, 4, "hold 1m39s ended"},
-		{"one of three was heard since", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3), quarantine.InstanceResponded{Incarnation: of("a"), At: at(3.5)}}, 0, nil, 4, "alone"},
-		{"another one was heard in its place", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3), quarantine.InstanceResponded{Incarnation: of("a"), At: at(3.5)}}, 0, []string{"a"}, 4, "hold 1m39s ended"},
+		{"the pause is over, another attempt in flight", []quarantine.Fact{end("a", 1), end("b", 1), end("c", 1)}, 1, nil, 6, "hold 300ms ended"},
+		{"success after the ends", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3), answered(4)}, 0, nil, 5, "send"},
+		{"success between the ends", []quarantine.Fact{end("a", 1), end("b", 2), answered(2.5), end("c", 3)}, 1, nil, 4, "send"},
+		{"recent success, many ends at once", []quarantine.Fact{answered(0), end("a", 1), end("b", 1), end("c", 1), end("d", 1)}, 1, nil, 2, "send"},
+		{"recent success, three ends in sequence", []quarantine.Fact{answered(0), end("a", 1), end("b", 2), end("c", 3)}, 0, nil, 4, "hold 1m39s ended"},
+		{"one of three instances responded since", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3), quarantine.InstanceResponded{Incarnation: incarnation("a"), At: at(3.5)}}, 0, nil, 4, "alone"},
+		{"a successor responded at its address", []quarantine.Fact{end("a", 1), end("b", 2), end("c", 3), quarantine.InstanceResponded{Incarnation: incarnation("a"), At: at(3.5)}}, 0, []string{"a"}, 4, "hold 1m39s ended"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -192,8 +197,8 @@
 			for range c.running {
 				b.Begin(digestOf(1))
 			}
-			for _, instance := range c.over {
-				b.ConfirmEnd(of(instance))
+			for _, instance := range c.confirmed {
+				b.ConfirmEnd(incarnation(instance))
 			}
 			if diff := cmp.Diff(c.want, name(b.Decide(digestOf(1), 1, at(c.now)))); diff != "" {
 				t.Error(diff)
@@ -215,12 +220,13 @@
 		}
 		return fmt.Sprint("hold ", v.RetryAfter, " ", why)
 	}
-	panic("verdict outside the sealed set")
+	panic("unknown verdict type")
 }
 
-// In whichever order facts come, and how often, the same follows.
+// Merging is commutative and idempotent: the status does not depend on the order of facts or on
+// duplicates.
 func TestOrderOfFactsMakesNoDifference(t *testing.T) {
-	facts := []quarantine.Fact{answered(0), end("a", 1), end("b", 2), quarantine.InstanceResponded{Incarnation: of("d"), At: at(3)}, end("c", 3), end("d", 2.5)}
+	facts := []quarantine.Fact{answered(0), end("a", 1), end("b", 2), quarantine.InstanceResponded{Incarnation: incarnation("d"), At: at(3)}, end("c", 3), end("d", 2.5)}
 	var want quarantine.RequestStatus
 	for turn := range facts {
 		b := quarantine.New(0)
@@ -237,30 +243,30 @@
 	}
 }
 
-// Whoever has many bodies end an instance each costs a bounded number of facts, and drives out no
-// request that is held.
-func TestManyBodiesDriveOutNoneThatIsHeld(t *testing.T) {
-	const bodies, mostFacts = 5_000, 1024
+// A caller whose many different bodies each end an instance causes a bounded number of facts, and
+// does not evict a held request.
+func TestManyBodiesEvictNoHeldRequest(t *testing.T) {
+	const bodies, maxFacts = 5_000, 1024
 	b := quarantine.New(0)
 	for i, instance := range []string{"a", "b", "c"} {
 		b.Merge(end(instance, float64(i)+1))
 	}
 	for n := range uint64(bodies) {
-		b.Merge(quarantine.InstanceEnded{Digest: digestOf(n + 2), Incarnation: of(fmt.Sprint(n)), Sent: at(3), At: at(3.1)})
+		b.Merge(quarantine.InstanceEnded{Digest: digestOf(n + 2), Incarnation: incarnation(fmt.Sprint(n)), Sent: at(3), At: at(3.1)})
 	}
-	if diff := cmp.Diff(mostFacts, b.Len()); diff != "" {
+	if diff := cmp.Diff(maxFacts, b.Len()); diff != "" {
 		t.Error("facts: " + diff)
 	}
 	if _, held := b.Decide(digestOf(1), 1, at(4)).(quarantine.Hold); !held {
-		t.Error("it is not held any more")
+		t.Error("the request is no longer held")
 	}
 }
 
-// A request that is not held is forgotten after a while, and one that was held some time after its
-// pause.
+// Facts about a request that is not held are removed after the retention time, those about a held
+// one the same time after its pause.
 func TestOldFactsAreForgotten(t *testing.T) {
 	b := quarantine.New(0)
-	b.Merge(quarantine.InstanceEnded{Digest: digestOf(2), Incarnation: of("x"), Sent: at(0), At: at(1)})
+	b.Merge(quarantine.InstanceEnded{Digest: digestOf(2), Incarnation: incarnation("x"), Sent: at(0), At: at(1)})
 	for i, instance := range []string{"a", "b", "c"} {
 		b.Merge(end(instance, float64(i)+1))
 	}
@@ -275,10 +281,11 @@
 	}
 }
 
-// A harmless request that many callers send was at three ends in a row with a deadly one, and held for
-// minutes: what the deadly one explains does not count against it, and what it does not explain does.
-func TestPopularRequestBesideADeadlyOneIsSent(t *testing.T) {
-	const popular, deadly = 1, 2
+// Guards against blaming a popular request: it ran on three instances in a row that ended under a
+// poison request, and was held for minutes. Ends that the poison request explains do not count
+// against it; others do.
+func TestPopularRequestBesidePoisonIsSent(t *testing.T) {
+	const popular, poison = 1, 2
 	play := func(both, alone []string) []bool {
 		b := quarantine.New(1)
 		b.Merge(answered(0))
@@ -286,9 +293,9 @@
 			b.Merge(end(instance, float64(n+1)))
 		}
 		for n, instance := range both {
-			b.Merge(quarantine.InstanceEnded{Digest: digestOf(deadly), Incarnation: of(instance), Address: instance, Sent: at(float64(n) + 0.5), At: at(float64(n + 1))})
+			b.Merge(quarantine.InstanceEnded{Digest: digestOf(poison), Incarnation: incarnation(instance), Address: instance, Sent: at(float64(n) + 0.5), At: at(float64(n + 1))})
 		}
-		return []bool{b.Status(digestOf(popular), 8, at(10)).Held, b.Status(digestOf(deadly), 8, at(10)).Held}
+		return []bool{b.Status(digestOf(popular), 8, at(10)).Held, b.Status(digestOf(poison), 8, at(10)).Held}
 	}
 	got := [][]bool{
 		play([]string{"a", "b", "c"}, nil), play([]string{"a", "b"}, []string{"c"}), play([]string{"a", "b", "c"}, []string{"d", "e", "f"}),
--- a/internal/coordination/quarantine/replay_test.go
+++ b/internal/coordination/quarantine/replay_test.go
@@ -11,23 +11,23 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// The fleet of the replay, as one of the small deployments has it.
+// The simulated fleet has the size of a small deployment.
 const (
 	replayInstances = 14
 	replaySlots     = 16
 	replayEntries   = 8
-	// replayAttempts is how many instances one request may be sent to.
+	// replayAttempts is the maximum number of instances that one request is sent to.
 	replayAttempts = 3
-	// popular is how many bodies a third of the callers share.
-	popular = 20
-	// back is after how long an instance is back that ended.
-	back = 3 * time.Second
-	// toOthers is the longest time that a fact takes from one entry to another.
-	toOthers = 500 * time.Millisecond
+	// popularBodies is the number of different bodies in a third of the requests.
+	popularBodies = 20
+	// restartDelay is how long an instance that ended takes to come back.
+	restartDelay = 3 * time.Second
+	// maxPropagation is the longest delay of a fact between two entries.
+	maxPropagation = 500 * time.Millisecond
 )
 
-// judge is what decides: a Book, or a mutant of it.
-type judge interface {
+// decider is the implementation under test: a FactSet or a mutant of it.
+type decider interface {
 	Decide(d quarantine.Digest, entries int, now time.Time) quarantine.Verdict
 	Merge(quarantine.Fact) bool
 	IsSuspected(quarantine.Digest) bool
@@ -38,10 +38,10 @@
 	Len() int
 }
 
-// request is one request on its way.
+// request is one request of a caller.
 type request struct {
 	digest  quarantine.Digest
-	deadly  bool
+	poison  bool
 	entry   *replayEntry
 	tried   []*instance
 	retries int
@@ -51,16 +51,16 @@
 type instance struct {
 	registry.Instance
 	up bool
-	// running are the attempts there, the oldest first.
+	// running holds the attempts in flight, oldest first.
 	running []*run
 }
 
-// leave takes an attempt away.
-func (in *instance) leave(x *run) {
+// remove removes an attempt.
+func (in *instance) remove(x *run) {
 	in.running = slices.DeleteFunc(in.running, func(other *run) bool { return other == x })
 }
 
-// run is one attempt at an instance.
+// run is one attempt on an instance.
 type run struct {
 	r    *request
 	at   *instance
@@ -70,26 +70,26 @@
 }
 
 type replayEntry struct {
-	judge
+	decider
 	answered map[quarantine.Digest]time.Time
-	// refused holds the instances whose connections something between refuses.
+	// refused holds the instances to which this entry's connections are refused on the way.
 	refused map[*instance]bool
 }
 
-// replay is a fleet in which everything happens at set times.
+// replay is a discrete-event simulation of a fleet.
 type replay struct {
-	random    *rand.Rand
-	now       time.Time
-	events    events
-	n         int
-	instances []*instance
-	entries   []*replayEntry
-	newJudge  func(entry int) judge
-	// closedIsEnd takes each closed connection for an end, as a mutant does.
+	random     *rand.Rand
+	now        time.Time
+	events     events
+	n          int
+	instances  []*instance
+	entries    []*replayEntry
+	newDecider func(entry int) decider
+	// closedIsEnd makes entries report every closed connection as an end, as a mutant.
 	closedIsEnd bool
 
-	// served and refused count requests that harm nobody, and held those of the refused whose
-	// instances had ended; heldBodies are which they were.
+	// served and refused count harmless requests, and held counts those refused because instances
+	// ended under them; heldBodies are their digests.
 	served, refused, held int
 	heldBodies            map[quarantine.Digest]bool
 	deaths                map[quarantine.Digest][]time.Time
@@ -116,9 +116,9 @@
 	return last
 }
 
-func newReplay(seed uint64, newJudge func(int) judge) *replay {
+func newReplay(seed uint64, newDecider func(int) decider) *replay {
 	r := &replay{
-		random: rand.New(rand.NewPCG(seed, 0x9a)), now: time.Unix(1e9, 0), newJudge: newJudge,
+		random: rand.New(rand.NewPCG(seed, 0x9a)), now: time.Unix(1e9, 0), newDecider: newDecider,
 		heldBodies: map[quarantine.Digest]bool{}, deaths: map[quarantine.Digest][]time.Time{}, sends: map[quarantine.Digest][]time.Time{},
 	}
 	for i := range replayInstances {
@@ -126,30 +126,30 @@
 		r.instances = append(r.instances, &instance{Instance: registry.Instance{ID: id, Address: id, Start: 1}, up: true})
 	}
 	for i := range replayEntries {
-		r.entries = append(r.entries, &replayEntry{judge: newJudge(i), answered: map[quarantine.Digest]time.Time{}, refused: map[*instance]bool{}})
+		r.entries = append(r.entries, &replayEntry{decider: newDecider(i), answered: map[quarantine.Digest]time.Time{}, refused: map[*instance]bool{}})
 	}
 	return r
 }
 
-// after has something happen later.
+// after schedules an event.
 func (r *replay) after(d time.Duration, do func()) {
 	r.n++
 	heap.Push(&r.events, event{r.now.Add(d), r.n, do})
 }
 
-// each has something happen again and again, at times drawn around an interval.
-func (r *replay) each(interval time.Duration, do func()) {
-	r.after(r.around(interval), func() {
+// every schedules an event repeatedly, with exponentially distributed intervals.
+func (r *replay) every(interval time.Duration, do func()) {
+	r.after(r.exponential(interval), func() {
 		do()
-		r.each(interval, do)
+		r.every(interval, do)
 	})
 }
 
-func (r *replay) around(d time.Duration) time.Duration {
+func (r *replay) exponential(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * r.random.ExpFloat64())
 }
 
-// play runs the replay for some time.
+// play runs the simulation for a duration.
 func (r *replay) play(d time.Duration) {
 	end := r.now.Add(d)
 	for len(r.events) > 0 && !r.events[0].at.After(end) {
@@ -166,14 +166,14 @@
 	return quarantine.DigestOf("team", []string{"/"}, b[:])
 }
 
-// innocents has callers send requests that harm nobody: a third of them bodies that many send.
-func (r *replay) innocents(interval time.Duration) {
-	r.each(interval, func() {
-		n := popular + r.random.Uint64N(1<<60)
+// sendHarmless schedules harmless requests; a third of them share a few popular bodies.
+func (r *replay) sendHarmless(interval time.Duration) {
+	r.every(interval, func() {
+		n := popularBodies + r.random.Uint64N(1<<60)
 		if r.random.IntN(3) == 0 {
-			n = r.random.Uint64N(popular)
+			n = r.random.Uint64N(popularBodies)
 		}
-		took := 20*time.Millisecond + r.around(100*time.Millisecond)
+		took := 20*time.Millisecond + r.exponential(100*time.Millisecond)
 		if r.random.IntN(10) == 0 {
 			took = 2 * time.Second
 		}
@@ -181,14 +181,14 @@
 	})
 }
 
-// deadly has one caller send a request that ends whatever runs it, at any entry.
-func (r *replay) deadly(n uint64, interval time.Duration) quarantine.Digest {
+// sendPoison schedules requests of one caller that end the instance they run on, at random entries.
+func (r *replay) sendPoison(n uint64, interval time.Duration) quarantine.Digest {
 	d := digestOf(n)
-	r.each(interval, func() { r.send(&request{digest: d, deadly: true}) })
+	r.every(interval, func() { r.send(&request{digest: d, poison: true}) })
 	return d
 }
 
-// send has a request arrive at an entry.
+// send delivers a request to a random entry.
 func (r *replay) send(q *request) {
 	q.entry = r.entries[r.random.IntN(len(r.entries))]
 	q.tried = nil
@@ -207,7 +207,7 @@
 		}
 	}
 	if len(open) == 0 || len(q.tried) == replayAttempts {
-		r.again(q)
+		r.retry(q)
 		return
 	}
 	in := open[r.random.IntN(len(open))]
@@ -215,22 +215,22 @@
 	q.entry.Begin(q.digest)
 	x := &run{r: q, at: in, of: in.Incarnation(), sent: r.now}
 	in.running = append(in.running, x)
-	if q.deadly {
+	if q.poison {
 		r.sends[q.digest] = append(r.sends[q.digest], r.now)
-		r.after(20*time.Millisecond+r.around(50*time.Millisecond), func() {
+		r.after(20*time.Millisecond+r.exponential(50*time.Millisecond), func() {
 			if in.Incarnation() == x.of && in.up {
 				r.deaths[q.digest] = append(r.deaths[q.digest], r.now)
-				r.end(in)
+				r.endInstance(in)
 			}
 		})
 		return
 	}
-	r.after(q.took, func() { r.answer(x) })
+	r.after(q.took, func() { r.succeed(x) })
 }
 
-// hold notes a refusal; callers come back once or twice.
+// hold counts a refused request; its caller retries up to twice.
 func (r *replay) hold(q *request, hold quarantine.Hold) {
-	if q.deadly {
+	if q.poison {
 		return
 	}
 	r.refused++
@@ -244,50 +244,50 @@
 	}
 }
 
-// again has a caller whose request failed come back, once.
-func (r *replay) again(q *request) {
-	if q.deadly || q.retries > 0 {
+// retry makes the caller of a failed request retry once.
+func (r *replay) retry(q *request) {
+	if q.poison || q.retries > 0 {
 		return
 	}
 	q.retries++
 	r.after(300*time.Millisecond, func() { r.send(q) })
 }
 
-// answer ends a run well, unless it has ended.
-func (r *replay) answer(x *run) {
+// succeed ends a run successfully, unless it is over.
+func (r *replay) succeed(x *run) {
 	if x.over {
 		return
 	}
 	x.over = true
-	x.at.leave(x)
+	x.at.remove(x)
 	e := x.r.entry
 	e.Done(x.r.digest)
 	r.served++
 	e.answered[x.r.digest] = r.now
 	if e.IsSuspected(x.r.digest) {
-		r.tell(e, quarantine.RequestSucceeded{Digest: x.r.digest, At: r.now})
+		r.publish(e, quarantine.RequestSucceeded{Digest: x.r.digest, At: r.now})
 	}
 	if e.PresumedEnded(x.of) {
-		r.tell(e, quarantine.InstanceResponded{Incarnation: x.of, At: x.sent})
+		r.publish(e, quarantine.InstanceResponded{Incarnation: x.of, At: x.sent})
 	}
 }
 
-// end ends an instance, which is back after a while.
-func (r *replay) end(in *instance) {
+// endInstance ends an instance, which restarts after restartDelay.
+func (r *replay) endInstance(in *instance) {
 	in.up = false
 	running := in.running
 	in.running = nil
 	for _, x := range running {
-		r.breakOff(x, true)
+		r.breakRun(x, true)
 	}
-	r.after(back, func() {
+	r.after(restartDelay, func() {
 		in.Start++
 		in.up = true
 	})
 }
 
-// breakOff ends a run whose connection closed.
-func (r *replay) breakOff(x *run, ended bool) {
+// breakRun ends a run whose connection closed.
+func (r *replay) breakRun(x *run, ended bool) {
 	if x.over {
 		return
 	}
@@ -295,13 +295,13 @@
 	q := x.r
 	q.entry.Done(q.digest)
 	if ended || r.closedIsEnd {
-		r.tell(q.entry, quarantine.InstanceEnded{Digest: q.digest, Incarnation: x.of, Address: x.at.Address, Sent: x.sent, At: r.now})
+		r.publish(q.entry, quarantine.InstanceEnded{Digest: q.digest, Incarnation: x.of, Address: x.at.Address, Sent: x.sent, At: r.now})
 	}
 	r.attempt(q)
 }
 
-// tell joins a fact at an entry, and at all others somewhat later.
-func (r *replay) tell(e *replayEntry, f quarantine.Fact) {
+// publish merges a fact at one entry, and after a delay at all others.
+func (r *replay) publish(e *replayEntry, f quarantine.Fact) {
 	if !e.Merge(f) {
 		return
 	}
@@ -309,67 +309,69 @@
 		if other == e {
 			continue
 		}
-		r.after(time.Duration(r.random.Int64N(int64(toOthers))), func() { r.hear(other, f) })
+		r.after(time.Duration(r.random.Int64N(int64(maxPropagation))), func() { r.receive(other, f) })
 	}
 }
 
-func (r *replay) hear(e *replayEntry, f quarantine.Fact) {
+func (r *replay) receive(e *replayEntry, f quarantine.Fact) {
 	news := e.Merge(f)
 	end, ok := f.(quarantine.InstanceEnded)
 	if !news || !ok {
 		return
 	}
 	if at, known := e.answered[end.Digest]; known {
-		r.tell(e, quarantine.RequestSucceeded{Digest: end.Digest, At: at})
+		r.publish(e, quarantine.RequestSucceeded{Digest: end.Digest, At: at})
 	}
 }
 
-// power ends some instances at the same moment.
-func (r *replay) power(n int) {
+// powerFailure ends several instances at the same moment.
+func (r *replay) powerFailure(n int) {
 	for _, i := range r.random.Perm(len(r.instances))[:n] {
 		if r.instances[i].up {
-			r.end(r.instances[i])
+			r.endInstance(r.instances[i])
 		}
 	}
 }
 
-// cut refuses the connections of one entry to some instances for a while; what runs there goes on.
-func (r *replay) cut(n int, d time.Duration) {
+// partition refuses the connections of one entry to some instances for a while; the instances keep
+// running.
+func (r *replay) partition(n int, d time.Duration) {
 	e := r.entries[r.random.IntN(len(r.entries))]
 	for _, i := range r.random.Perm(len(r.instances))[:n] {
 		in := r.instances[i]
 		e.refused[in] = true
 		for _, x := range slices.Clone(in.running) {
 			if x.r.entry == e {
-				in.leave(x)
-				r.breakOff(x, true)
+				in.remove(x)
+				r.breakRun(x, true)
 			}
 		}
 		r.after(d, func() { delete(e.refused, in) })
 	}
 }
 
-// drop closes the connections of some runs, whose instances live on.
-func (r *replay) drop(n int) {
+// dropConnections closes the connections of some runs; their instances keep running.
+func (r *replay) dropConnections(n int) {
 	for _, in := range r.instances {
 		for _, x := range slices.Clone(in.running) {
 			if n == 0 {
 				return
 			}
-			if !x.r.deadly {
+			if !x.r.poison {
 				n--
-				in.leave(x)
-				r.breakOff(x, false)
+				in.remove(x)
+				r.breakRun(x, false)
 			}
 		}
 	}
 }
 
-// restart has an entry forget what it knew by itself; it learns what others told before it serves.
-func (r *replay) restart() {
+// restartEntry discards an entry's state; before it serves again, it gets the facts of another
+// entry.
+func (r *replay) restartEntry() {
 	i := r.random.IntN(len(r.entries))
 	e := r.entries[i]
-	e.judge = r.newJudge(i)
+	e.decider = r.newDecider(i)
 	e.answered = map[quarantine.Digest]time.Time{}
 	other := r.entries[(i+1)%len(r.entries)]
 	facts, _ := other.Since(0, other.Len())
