--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -1,9 +1,11 @@
-// Package placement holds what one entry knows of upstreams, stores and kept
-// context, and makes each prompt's plan from it: where it runs, what is fetched
-// first, and what is kept afterwards.
+// Package placement holds the state that one entry has about upstreams, stores and stored KV cache,
+// and plans each prompt with it: where it runs, what is fetched first, and what is stored
+// afterwards.
 //
-// It joins the directory's hints with the routing estimate. It is a pure state
-// machine and not safe for concurrent use.
+// It combines the directory's hints with the routing estimate. It is a pure state machine and not
+// safe for concurrent use.
+//
+// A context is the KV cache of a prompt's prefix, in whole blocks.
 package placement
 
 import (
@@ -18,31 +20,32 @@
 	"github.com/shedrock/shedrock/internal/state/prefix"
 )
 
-// store is what the board knows of one store instance.
+// store is the planner's state of one store instance.
 type store struct {
 	name, address string
 	linkRate      float64
-	near          bool
+	sameDomain    bool
 	declared      bool
-	// transfers counts the fetches that callers wait for now.
-	transfers int
-	// copies counts background copies now.
-	copies int
-	// incarnations lists the blank starts seen, oldest first.
+	// activeFetches counts the fetches in flight that callers wait for.
+	activeFetches int
+	// activeCopies counts the background copies in flight.
+	activeCopies int
+	// incarnations lists the store's incarnations that were seen, oldest first. Each of them
+	// started empty.
 	incarnations []string
-	// observed is the rate of late fetches in bytes a second, as of observedAt; 0
-	// before the first.
-	observed   float64
-	observedAt time.Time
+	// observedRate is the moving average of the rate of recent fetches in bytes per second, as of
+	// observedAt; 0 before the first.
+	observedRate float64
+	observedAt   time.Time
 	// fullUntil is when a store that had no space may be tried again.
 	fullUntil time.Time
 }
 
-// Planner is the state. Make one with New.
+// Planner holds the state of one entry. Make one with New.
 type Planner struct {
 	domain string
-	// upstreams and names have the same length; a number once given to an
-	// upstream stays its own, so that hints keep their meaning.
+	// upstreams and names have the same length. The number of an upstream is never reused, so that
+	// hints stay valid.
 	upstreams []routing.Upstream
 	names     []string
 	addresses []string
@@ -50,24 +53,25 @@
 	stores    []store
 	directory *directory.Directory
 	found     directory.Found
-	// teams numbers the teams whose contexts were noted, and shares holds their declared
-	// shares by number.
+	// teams assigns numbers to the teams that have contexts in the directory, and shares holds
+	// their declared shares by number.
 	teams  map[string]uint16
 	shares []float64
-	// retentions holds what was learned for each model.
+	// retentions holds the learned retention for each model.
 	retentions map[string]*retention
-	// scores is as long as upstreams; it saves an allocation for each decision.
+	// scores has the length of upstreams; reusing it saves an allocation per decision.
 	scores  []float64
 	weights routing.Weights
 	random  *rand.Rand
-	// superseded holds, for each model, the weight version declared before the one in force.
+	// superseded holds, for each model, the weight version that was declared before the current
+	// one.
 	superseded map[string]string
-	// postponed holds copies that wait for their store's link, oldest first, at
-	// most maxPostponed.
+	// postponed holds copies that wait for their store's link, oldest first, at most maxPostponed
+	// of them.
 	postponed []PostponedCopy
 }
 
-// New returns a board for an entry in a failure domain.
+// New returns a planner for an entry in a failure domain.
 func New(domain string, contexts int, seed uint64) *Planner {
 	return &Planner{
 		domain:     domain,
@@ -79,15 +83,15 @@
 	}
 }
 
-// ApplyDeclared makes the board agree with the declared state. Only upstreams and stores of
-// the entry's own region are used.
+// ApplyDeclared updates the planner to the declared state. Only upstreams and stores of the entry's
+// own region are used.
 func (b *Planner) ApplyDeclared(s *declared.State) {
 	b.superseded = s.AllSuperseded()
 	b.weights = routing.Weights{FirstToken: s.Control().FirstTokenWeight(), Recompute: s.Control().RecomputeWeight()}
 	present := map[string]bool{}
 	for _, u := range s.UpstreamsNear(b.domain) {
 		present[u.Name()] = true
-		b.declareUpstream(u, s.Evacuated(u.FailureDomain()))
+		b.applyUpstream(u, s.Evacuated(u.FailureDomain()))
 	}
 	for i, name := range b.names {
 		if !present[name] {
@@ -95,11 +99,11 @@
 			b.upstreams[i].Model = ""
 		}
 	}
-	b.declareStores(s)
-	b.declareTeams(s)
+	b.applyStores(s)
+	b.applyTeams(s)
 }
 
-func (b *Planner) declareUpstream(u declared.Upstream, evacuated bool) {
+func (b *Planner) applyUpstream(u declared.Upstream, evacuated bool) {
 	n, ok := b.numbers[u.Name()]
 	if !ok {
 		n = len(b.names)
@@ -124,7 +128,7 @@
 	known.NoteLeaving(u.Leaving() || evacuated)
 }
 
-func (b *Planner) declareStores(state *declared.State) {
+func (b *Planner) applyStores(state *declared.State) {
 	for i := range b.stores {
 		b.stores[i].declared = false
 	}
@@ -136,7 +140,7 @@
 		known := &b.stores[n]
 		known.name = s.Name()
 		known.linkRate = s.LinkRate()
-		known.near = s.FailureDomain() == b.domain
+		known.sameDomain = s.FailureDomain() == b.domain
 		known.declared = true
 	}
 }
@@ -151,7 +155,7 @@
 	return len(b.stores) - 1
 }
 
-// Upstream returns an upstream by number, to note what happened there.
+// Upstream returns the upstream with the given number, to record events of its runs.
 func (b *Planner) Upstream(n int) *routing.Upstream { return &b.upstreams[n] }
 
 // UpstreamNumber returns the number of an upstream.
@@ -169,23 +173,24 @@
 // Address returns an upstream's "ip:port".
 func (b *Planner) Address(n int) string { return b.addresses[n] }
 
-// Directory returns the board's directory.
+// Directory returns the planner's directory.
 func (b *Planner) Directory() *directory.Directory { return b.directory }
 
 // Weights returns the deployment's declared weights.
 func (b *Planner) Weights() routing.Weights { return b.weights }
 
-// ServingVersion returns the weight version under which a new prompt should run: the
-// one in force as soon as enough upstreams serve it, and until then the one before it, if more
-// upstreams serve that. What upstreams serve besides these two was not declared, or no longer
-// is, and nothing runs on it, whoever else is known. Only upstreams that may take the prompt
-// count: not those that leave, rest, are ejected or were tried. While a rollout goes on both are served, each to its own
-// prompts; their kept contexts never meet, because the version is part of every key.
+// ServingVersion returns the weight version under which a new prompt should run. That is the
+// current version once enough upstreams serve it, and the previous one until then, if more
+// upstreams serve that. Any other version that upstreams serve is not declared, or no longer is,
+// and is never used, even if no other version is known. Only upstreams that may take the prompt
+// count: not those that are leaving, in backoff, ejected or already tried. During a rollout both
+// versions are served, each to its own prompts; their contexts never mix, because the version is
+// part of every key.
 func (b *Planner) ServingVersion(m declared.Model, tried []int, now time.Time) string {
-	wanted := m.WeightVersion()
-	before, ok := b.superseded[m.Name()]
+	current := m.WeightVersion()
+	previous, ok := b.superseded[m.Name()]
 	if !ok {
-		return wanted
+		return current
 	}
 	counts := map[string]int{}
 	for i := range b.upstreams {
@@ -194,11 +199,11 @@
 			counts[u.Version]++
 		}
 	}
-	enough := m.MinServing() > 0 && counts[wanted] >= m.MinServing()
-	if counts[wanted] >= counts[before] || enough {
-		return wanted
+	enough := m.MinServing() > 0 && counts[current] >= m.MinServing()
+	if counts[current] >= counts[previous] || enough {
+		return current
 	}
-	return before
+	return previous
 }
 
 // Prompt is a request to be placed.
@@ -208,39 +213,39 @@
 	Keys    []prefix.Key
 	// Tokens is the length of the prompt.
 	Tokens int
-	// Tried lists the upstreams that have been tried.
+	// Tried lists the upstreams that were already tried.
 	Tried []int
-	// Hints is what the owner of the prompt's part of the directory knows; when
-	// nil, this board's own directory is asked.
+	// Hints are the hints of the entry that owns the prompt's partition of the directory; if nil,
+	// this planner's own directory is used.
 	Hints *Hints
 }
 
-// Plan says where a prompt runs. It is a plain value.
+// Plan is the placement of a prompt. It is a plain value.
 type Plan struct {
 	routing.Plan
 	// Name and Address are those of the upstream.
 	Name, Address string
-	// Store, Refs and FetchBlocks say what to fetch first, when Fetch is true.
+	// Store, Refs and FetchBlocks describe the fetch that precedes the run, if Fetch is true.
 	Store       string
 	Refs        []StoredObject
 	FetchBlocks int
-	// Cached is how many leading blocks the upstream is thought to have, as was last
-	// known at CachedUsed, in seconds.
+	// Cached is how many leading blocks the upstream is expected to have in its cache, according to
+	// information from CachedAsOf, in seconds since 1970.
 	Cached     int
-	CachedUsed uint32
-	// Kept is how many leading blocks the store at KeptAt is thought to hold.
-	Kept   int
-	KeptAt string
+	CachedAsOf uint32
+	// StoredBlocks is how many leading blocks the store at StoredAt is expected to hold.
+	StoredBlocks int
+	StoredAt     string
 }
 
-// Place makes the plan for a prompt; ok is false when no upstream may run it.
+// Place returns the plan for a prompt; ok is false if no upstream may run it.
 func (b *Planner) Place(p Prompt, now time.Time) (Plan, bool) {
 	if p.Hints != nil {
-		b.take(p.Hints)
+		b.useHints(p.Hints)
 	} else {
 		b.directory.Match(p.Keys, len(b.upstreams), &b.found)
 	}
-	b.distrust(now)
+	b.dropExpired(now)
 	stored, rate, storeNumber := b.fetchable(now)
 	q := routing.Prompt{
 		Model:         p.Model.Name(),
@@ -262,10 +267,10 @@
 	}
 	out := Plan{Plan: plan, Name: b.names[plan.Upstream], Address: b.addresses[plan.Upstream]}
 	out.Cached = int(b.found.Cached[plan.Upstream])
-	out.CachedUsed = b.found.Used[plan.Upstream]
-	out.Kept = stored
+	out.CachedAsOf = b.found.Used[plan.Upstream]
+	out.StoredBlocks = stored
 	if stored > 0 {
-		out.KeptAt = b.stores[storeNumber].address
+		out.StoredAt = b.stores[storeNumber].address
 	}
 	if plan.Fetch {
 		out.Store = b.stores[storeNumber].address
@@ -275,15 +280,15 @@
 	return out, true
 }
 
-// BackoffRemaining returns for how long the first of the upstreams that rest still does, when a prompt finds none
-// for that reason.
+// BackoffRemaining returns the shortest time until an upstream in backoff accepts the prompt; ok is
+// false if no upstream is excluded by backoff alone.
 func (b *Planner) BackoffRemaining(p Prompt, now time.Time) (left time.Duration, ok bool) {
 	q := routing.Prompt{Model: p.Model.Name(), Version: p.Version, Tried: p.Tried}
 	return routing.BackoffRemaining(b.upstreams, &q, now)
 }
 
-// fetchable returns how many leading blocks one store holds, and the bandwidth a
-// fetch would get there now.
+// fetchable returns how many leading blocks one store holds, and the bandwidth that a fetch from it
+// would get now.
 func (b *Planner) fetchable(now time.Time) (blocks int, rate float64, storeNumber int) {
 	if b.found.Stored == 0 {
 		return 0, 0, 0
@@ -298,37 +303,39 @@
 	if !s.declared {
 		return 0, 0, 0
 	}
-	return b.found.Stored, s.rate(now) / float64(s.transfers+1), storeNumber
+	return b.found.Stored, s.rate(now) / float64(s.activeFetches+1), storeNumber
 }
 
 func (b *Planner) refs() []StoredObject {
 	var refs []StoredObject
 	for i, o := range b.found.Objects {
-		refs = append(refs, *b.kept(o, int(b.found.Ends[i])))
+		refs = append(refs, *b.storedObject(o, int(b.found.Ends[i])))
 	}
 	return refs
 }
 
-// BeginFetch counts a fetch that a caller waits for.
-func (b *Planner) BeginFetch(address string) { b.stores[b.storeNumber(address)].transfers++ }
+// BeginFetch records the start of a fetch that a caller waits for.
+func (b *Planner) BeginFetch(address string) { b.stores[b.storeNumber(address)].activeFetches++ }
 
-// FetchResult says how a fetch ended. It is a plain value.
+// FetchResult is the result of a fetch. It is a plain value.
 type FetchResult struct {
-	// Blocks is how many arrived, and Took how long that was.
+	// Blocks is how many blocks arrived, and Took the duration of the fetch.
 	Blocks int
 	Took   time.Duration
-	// Bytes went over the link; when the fetch was given up, it is what should have
-	// gone in that time.
+	// Bytes is how many bytes went over the link; for an aborted fetch, it is how many should have
+	// been transferred in that time.
 	Bytes int64
-	// Aborted says that time ran out, which tells nothing about the objects.
+	// Aborted is true if the fetch did not complete, for example because it timed out. That says
+	// nothing about whether the objects exist.
 	Aborted bool
 }
 
-// EndFetch ends a fetch of a plan's objects; keys are the prompt's. The plan then says what the store really
-// holds. The notes that are returned drop the hints to objects that were refused.
+// EndFetch records the end of a fetch of a plan's objects; keys are the prompt's. It updates the
+// plan to what the store really holds. The returned notes remove the hints to objects that the
+// store refused.
 func (b *Planner) EndFetch(p *Plan, keys []prefix.Key, f FetchResult, now time.Time) []Note {
 	s := &b.stores[b.storeNumber(p.Store)]
-	s.transfers--
+	s.activeFetches--
 	s.observe(f.Bytes, f.Took, now)
 	if f.Aborted {
 		return nil
@@ -342,37 +349,37 @@
 		}
 		notes = append(notes, Note{Key: keys[ref.End-1], Refused: true})
 	}
-	p.Kept = kept
+	p.StoredBlocks = kept
 	return notes
 }
 
 const (
-	// observedLifetime is how long a measured rate stands before it is doubted: it
-	// doubles each such time, until the declared rate is reached.
-	observedLifetime = time.Minute
-	// minObservedBytes is the shortest fetch that says anything about a link.
+	// observedRateDoubling is the time in which an observed rate is assumed to double, up to the
+	// declared rate, since it may be outdated.
+	observedRateDoubling = time.Minute
+	// minObservedBytes is the size of the smallest fetch from which a link's rate is measured.
 	minObservedBytes = 1 << 20
-	// observedWeight is the weight of a new measurement.
+	// observedWeight is the weight of a new measurement in the moving average.
 	observedWeight = 0.3
 )
 
-// observe takes the rate of a fetch: what the link had left for it, whoever else
-// used it.
+// observe records the rate of a fetch: the bandwidth that the link had left for it, whatever else
+// used the link.
 func (s *store) observe(bytes int64, took time.Duration, now time.Time) {
 	if bytes < minObservedBytes || took <= 0 {
 		return
 	}
 	rate := float64(bytes) / took.Seconds()
-	before := s.rate(now)
-	s.observed = before + observedWeight*(rate-before)
+	previous := s.rate(now)
+	s.observedRate = previous + observedWeight*(rate-previous)
 	s.observedAt = now
 }
 
-// rate is what a fetch is expected to get from the link, in bytes a second.
+// rate returns the bandwidth that a fetch is expected to get from the link, in bytes per second.
 func (s *store) rate(now time.Time) float64 {
-	if s.observed == 0 {
+	if s.observedRate == 0 {
 		return s.linkRate
 	}
-	age := now.Sub(s.observedAt).Seconds() / observedLifetime.Seconds()
-	return min(s.linkRate, s.observed*math.Exp2(age))
+	age := now.Sub(s.observedAt).Seconds() / observedRateDoubling.Seconds()
+	return min(s.linkRate, s.observedRate*math.Exp2(age))
 }
--- a/internal/coordination/placement/guard.go
+++ b/internal/coordination/placement/guard.go
@@ -2,12 +2,12 @@
 
 import "github.com/shedrock/shedrock/internal/state/declared"
 
-// guardShare is the part of its share of a full store that a team keeps, whatever the
-// others do. The rest goes to whoever used it last, so that space follows need.
-const guardShare = 0.8
+// guaranteedShare is the part of its share of a full store that a team keeps, independent of the
+// other teams. The rest is distributed by last use, so that space follows demand.
+const guaranteedShare = 0.8
 
-// team returns the number by which the directory knows a team.
-func (b *Planner) team(name string) uint16 {
+// teamNumber returns the number of a team in the directory.
+func (b *Planner) teamNumber(name string) uint16 {
 	n, ok := b.teams[name]
 	if !ok {
 		n = uint16(len(b.teams))
@@ -17,8 +17,8 @@
 	return n
 }
 
-// declareTeams takes the shares of teams.
-func (b *Planner) declareTeams(s *declared.State) {
+// applyTeams updates the shares of the teams.
+func (b *Planner) applyTeams(s *declared.State) {
 	for name, n := range b.teams {
 		b.shares[n] = 1
 		if t, ok := s.Team(name); ok {
@@ -27,9 +27,10 @@
 	}
 }
 
-// guards returns how many blocks of a store each team keeps: a part of its share of what
-// this board's part of the directory holds there. Only teams that hold something count.
-func (b *Planner) guards(store uint16) map[uint16]int {
+// guaranteedBlocks returns how many blocks of a store each team is guaranteed: a part of its share
+// of what this planner's partitions of the directory hold there. Only teams that hold something
+// count.
+func (b *Planner) guaranteedBlocks(store uint16) map[uint16]int {
 	held := b.directory.Held(store)
 	blocks, shares := 0, 0.0
 	for team, n := range held {
@@ -38,20 +39,19 @@
 	}
 	out := map[uint16]int{}
 	for team := range held {
-		out[team] = int(guardShare * float64(blocks) * b.shares[team] / shares)
+		out[team] = int(guaranteedShare * float64(blocks) * b.shares[team] / shares)
 	}
 	return out
 }
 
-// EvictObjects takes the least useful objects of a store out of the directory, until
-// they hold a number of blocks, and returns them, to be freed. The order is by
-// last use: the contexts of this board that were asked for longest ago, of teams that
-// hold more than their guard.
+// EvictObjects removes the least recently used objects of a store from the directory, until they
+// amount to a number of blocks, and returns them so that the store can free them. Only objects of
+// teams that hold more than their guaranteed blocks are evicted.
 func (b *Planner) EvictObjects(address string, blocks int) []StoredObject {
 	n := uint16(b.storeNumber(address) + 1)
 	var out []StoredObject
-	for _, o := range b.directory.StalestObjects(n, blocks, b.guards(n)) {
-		out = append(out, *b.kept(o, 0))
+	for _, o := range b.directory.StalestObjects(n, blocks, b.guaranteedBlocks(n)) {
+		out = append(out, *b.storedObject(o, 0))
 	}
 	return out
 }
--- a/internal/coordination/placement/guard_test.go
+++ b/internal/coordination/placement/guard_test.go
@@ -18,38 +18,38 @@
 	guardStore    = "10.0.1.1:1"
 )
 
-// shelf is one full store and the board that says what leaves it.
-type shelf struct {
-	board *placement.Planner
-	held  map[prefix.Key]uint64
-	space int
-	next  uint64
+// fullStore is one store that is filled, and the planner that evicts from it.
+type fullStore struct {
+	planner *placement.Planner
+	held    map[prefix.Key]uint64
+	space   int
+	next    uint64
 }
 
-func newShelf(t *testing.T, shares string) *shelf {
+func newFullStore(t *testing.T, shares string) *fullStore {
 	docs := []string{"document: stores\nversion: 1\nstores:\n  - {name: s, address: \"" + guardStore + "\", failure_domain: d, memory_bytes: 1, link_bytes_per_second: 1}\n"}
 	if shares != "" {
 		docs = append(docs, "document: teams\nversion: 1\nteams:\n"+shares)
 	}
 	state := stateOf(t, docs...)
-	board := placement.New("d", 100_000, 1)
-	board.ApplyDeclared(state)
-	return &shelf{board: board, held: map[prefix.Key]uint64{}, space: guardSpace}
+	planner := placement.New("d", 100_000, 1)
+	planner.ApplyDeclared(state)
+	return &fullStore{planner: planner, held: map[prefix.Key]uint64{}, space: guardSpace}
 }
 
-// use asks for a team's context and keeps it if it is not held; it reports whether it was.
-func (s *shelf) use(team string, context int) (held bool) {
+// use requests a team's context and stores it if it is not held; it reports whether it was held.
+func (s *fullStore) use(team string, context int) (held bool) {
 	var key prefix.Key
 	copy(key[:], team)
 	binary.BigEndian.PutUint64(key[8:], uint64(context+1))
 	now := time.Unix(1, 0)
 	if _, ok := s.held[key]; ok {
-		s.board.Apply(placement.Note{Team: team, Key: key, Blocks: 10, Upstream: "u"}, now)
+		s.planner.Apply(placement.Note{Team: team, Key: key, Blocks: 10, Upstream: "u"}, now)
 		s.touch(team, key)
 		return true
 	}
 	if len(s.held) >= s.space {
-		for _, k := range s.board.EvictObjects(guardStore, 10) {
+		for _, k := range s.planner.EvictObjects(guardStore, 10) {
 			s.drop(k.Object)
 		}
 	}
@@ -59,8 +59,8 @@
 	return false
 }
 
-// touch notes an object anew, which makes its context the newest.
-func (s *shelf) touch(team string, key prefix.Key) {
+// touch records an object again, which makes its context the most recently used.
+func (s *fullStore) touch(team string, key prefix.Key) {
 	object, ok := s.held[key]
 	if !ok {
 		s.next++
@@ -68,10 +68,10 @@
 		s.held[key] = object
 	}
 	kept := placement.StoredObject{Store: guardStore, Incarnation: "i", Object: object, Generation: object, Blocks: 10, End: 10}
-	s.board.Apply(placement.Note{Team: team, Key: key, Blocks: 10, Object: &kept}, time.Unix(1, 0))
+	s.planner.Apply(placement.Note{Team: team, Key: key, Blocks: 10, Object: &kept}, time.Unix(1, 0))
 }
 
-func (s *shelf) drop(object uint64) {
+func (s *fullStore) drop(object uint64) {
 	for key, held := range s.held {
 		if held == object {
 			delete(s.held, key)
@@ -79,9 +79,9 @@
 	}
 }
 
-// hits runs teams that return to their contexts beside one that sends twenty times as
-// much and never returns; it returns the part of the others' requests that found theirs.
-func hits(s *shelf, guarded bool) float64 {
+// hits simulates teams that reuse their contexts next to one that sends twenty times as much and
+// never reuses any. It returns the hit rate of the other teams.
+func hits(s *fullStore, guarded bool) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
 	asked, found := 0, 0
 	const requests = 30_000
@@ -106,19 +106,19 @@
 	return float64(found) / float64(asked)
 }
 
-// TestGreedyTeamDoesNotEmptyTheStore holds the guard: without it the least recently used
-// objects leave, whoever's they are.
+// TestGreedyTeamDoesNotEmptyTheStore checks the guarantee: without it, the least recently used
+// objects of any team are evicted.
 func TestGreedyTeamDoesNotEmptyTheStore(t *testing.T) {
-	with, without := hits(newShelf(t, ""), true), hits(newShelf(t, ""), false)
-	t.Logf("contexts of teams that return, found: %.3f with the guard, %.3f without", with, without)
+	with, without := hits(newFullStore(t, ""), true), hits(newFullStore(t, ""), false)
+	t.Logf("hit rate of teams that reuse contexts: %.3f with the guarantee, %.3f without", with, without)
 	if with < 0.95 || without > 0.5 {
-		t.Fatal("the guard does not hold, or the test shows nothing")
+		t.Fatal("the guarantee does not hold, or the workload does not need it")
 	}
 }
 
-// TestUnusedShareIsLent has one team alone: it may fill the store.
+// TestUnusedShareIsLent checks that a team that is alone may fill the store.
 func TestUnusedShareIsLent(t *testing.T) {
-	s := newShelf(t, "")
+	s := newFullStore(t, "")
 	for i := range 2 * guardSpace {
 		s.use("team-0", i)
 	}
--- a/internal/coordination/placement/hints.go
+++ b/internal/coordination/placement/hints.go
@@ -8,13 +8,13 @@
 	"github.com/shedrock/shedrock/internal/state/prefix"
 )
 
-// routeBlocks is how deep into a prompt the key lies that says which entry owns its
-// context: deep enough that teams' common openings do not all meet at one entry,
-// and shallow enough that a prompt and its continuations share it.
+// routeBlocks is the number of leading blocks whose key determines the entry that owns a context.
+// It is high enough that contexts with a common beginning, such as a team's system prompt, are not
+// all owned by one entry, and low enough that a prompt and its continuations have the same owner.
 const routeBlocks = 8
 
-// Route returns the key by which the owner of a prompt's context is found; ok is
-// false for a prompt without a full block, of which nothing is remembered.
+// Route returns the key that determines the owner of a prompt's context; ok is false for a prompt
+// without a full block, about which nothing is recorded.
 func Route(keys []prefix.Key) (key prefix.Key, ok bool) {
 	if len(keys) == 0 {
 		return prefix.Key{}, false
@@ -22,54 +22,53 @@
 	return keys[min(len(keys), routeBlocks)-1], true
 }
 
-// Partitions is into how many parts the directory is divided among entries.
+// Partitions is the number of partitions of the directory, which are distributed over the entries.
 const Partitions = 4096
 
-// PartitionOf returns the part of the directory to which the contexts of a route belong.
+// PartitionOf returns the partition of the directory that holds the contexts of a route.
 func PartitionOf(route prefix.Key) uint16 { return binary.BigEndian.Uint16(route[:]) % Partitions }
 
-// Hints is what a directory knows of one prompt, by names that every entry shares.
+// Hints is what a directory knows about one prompt, with names that are the same for every entry.
 // It is a plain value.
 type Hints struct {
 	Cached  []CachedAt
 	Objects []StoredObject
 }
 
-// CachedAt says how many leading blocks an upstream may have.
+// CachedAt says how many leading blocks an upstream is expected to have in its cache.
 type CachedAt struct {
 	Upstream string
 	Blocks   int
-	// Used is when that was last known, in seconds since 1970.
+	// Used is the time of that information, in seconds since 1970.
 	Used uint32
 }
 
-// StoredObject names an object in a store.
+// StoredObject identifies an object in a store.
 type StoredObject struct {
 	// Store is the store's address.
 	Store, Incarnation string
 	Object, Generation uint64
-	// Blocks is how many blocks it holds, and End how many of the prompt there are
-	// up to its end.
+	// Blocks is how many blocks it holds, and End the number of blocks of the prompt up to its end.
 	Blocks, End int
 }
 
-// Note tells the owner of a context what became of it. It is a plain value.
+// Note tells the owner of a context about an event that concerns it. It is a plain value.
 type Note struct {
-	// Team is whose context it is.
+	// Team is the team that the context belongs to.
 	Team   string
 	Key    prefix.Key
 	Blocks int
-	// Upstream ran the context, when it is not empty.
+	// Upstream is the upstream that ran the context, or empty.
 	Upstream string
-	// Object was sealed with the context's last blocks, when it is not nil; Parent
-	// is the key before them.
+	// Object, if not nil, is a sealed object with the context's last blocks; Parent is the key of
+	// the block before them.
 	Object *StoredObject
 	Parent prefix.Key
-	// Refused says that a store refused the context's object.
+	// Refused is true if a store refused the context's object.
 	Refused bool
 }
 
-// Find returns what this board's directory knows of a prompt.
+// Find returns what this planner's directory knows about a prompt.
 func (b *Planner) Find(keys []prefix.Key) *Hints {
 	b.directory.Match(keys, len(b.upstreams), &b.found)
 	h := &Hints{}
@@ -79,13 +78,13 @@
 		}
 	}
 	for i, o := range b.found.Objects {
-		h.Objects = append(h.Objects, *b.kept(o, int(b.found.Ends[i])))
+		h.Objects = append(h.Objects, *b.storedObject(o, int(b.found.Ends[i])))
 	}
 	return h
 }
 
-// take puts another entry's hints in the place of a match of this board's own.
-func (b *Planner) take(h *Hints) {
+// useHints uses another entry's hints instead of a match in the planner's own directory.
+func (b *Planner) useHints(h *Hints) {
 	b.directory.Match(nil, len(b.upstreams), &b.found)
 	for _, c := range h.Cached {
 		if n, ok := b.numbers[c.Upstream]; ok {
@@ -107,9 +106,10 @@
 	}
 }
 
-// Apply takes a note into this board's directory. It returns the objects that are of no
-// more use, to be freed: the one that it replaces, and those of contexts that gave way.
-func (b *Planner) Apply(n Note, now time.Time) (useless []StoredObject) {
+// Apply applies a note to this planner's directory. It returns the objects that are no longer
+// needed and can be freed: the one that the note's object replaces, and those of contexts that were
+// evicted from the directory.
+func (b *Planner) Apply(n Note, now time.Time) (obsolete []StoredObject) {
 	if n.Refused {
 		b.directory.ForgetObject(n.Key)
 		return nil
@@ -120,31 +120,31 @@
 	if n.Object != nil {
 		o := b.object(b.storeNumber(n.Object.Store), *n.Object)
 		old, had := b.directory.Stored(n.Key)
-		b.directory.NoteStored(n.Key, n.Parent, n.Blocks, b.team(n.Team), o)
+		b.directory.NoteStored(n.Key, n.Parent, n.Blocks, b.teamNumber(n.Team), o)
 		if had && old != o {
-			useless = append(useless, *b.kept(old, n.Blocks))
+			obsolete = append(obsolete, *b.storedObject(old, n.Blocks))
 		}
 	}
 	for _, dropped := range b.directory.Dropped() {
-		useless = append(useless, *b.kept(dropped, 0))
+		obsolete = append(obsolete, *b.storedObject(dropped, 0))
 	}
-	return useless
+	return obsolete
 }
 
-// ApplyListed takes an object that a store listed into this board's directory, unless it knows
-// a newer one. It returns the objects that are of no use: a listed one that was replaced,
-// or those that it replaces itself.
-func (b *Planner) ApplyListed(n Note, now time.Time) (useless []StoredObject) {
+// ApplyListed adds an object that a store listed to this planner's directory, unless a newer one is
+// known. It returns the objects that are no longer needed: the listed one, if it was replaced, or
+// those that it replaces.
+func (b *Planner) ApplyListed(n Note, now time.Time) (obsolete []StoredObject) {
 	old, had := b.directory.Stored(n.Key)
 	if !had || !b.stores[old.Store-1].declared {
 		return b.Apply(n, now)
 	}
-	known := b.kept(old, n.Blocks)
+	known := b.storedObject(old, n.Blocks)
 	switch {
 	case known.Store != n.Object.Store:
 		return []StoredObject{*n.Object}
 	case known.Incarnation != n.Object.Incarnation || known.Generation < n.Object.Generation:
-		// The store has started blank since, or the object was replaced unheard.
+		// The store has restarted empty since, or the note of the replacement was lost.
 		return b.Apply(n, now)
 	case known.Generation > n.Object.Generation:
 		return []StoredObject{*n.Object}
@@ -152,9 +152,9 @@
 	return nil
 }
 
-// kept names an object as every entry knows it; end is how many blocks of a prompt
-// there are up to its end.
-func (b *Planner) kept(o directory.Object, end int) *StoredObject {
+// storedObject converts an object to the form that is the same for every entry; end is the number
+// of blocks of a prompt up to its end.
+func (b *Planner) storedObject(o directory.Object, end int) *StoredObject {
 	s := &b.stores[o.Store-1]
 	return &StoredObject{
 		Store: s.address, Incarnation: s.incarnations[o.Incarnation], Object: o.Object, Generation: o.Generation,
--- a/internal/coordination/placement/keep.go
+++ b/internal/coordination/placement/keep.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// minKeepBlocks is the shortest new part of a context worth an object: a
-	// shorter one is recomputed faster than it is fetched.
-	minKeepBlocks = 2
-	// copiesPerStore bounds background copies to one store from one entry.
-	copiesPerStore = 1
-	// maxPostponed bounds the copies that wait.
+	// minCopyBlocks is the smallest number of new blocks that is worth an object: fewer are
+	// recomputed faster than fetched.
+	minCopyBlocks = 2
+	// maxCopiesPerStore bounds the background copies from one entry to one store.
+	maxCopiesPerStore = 1
+	// maxPostponed bounds the number of postponed copies.
 	maxPostponed = 256
-	// crowdedShare is the part of a link's declared rate below which late fetches say
-	// that the link is crowded, and copies wait for a better time.
-	crowdedShare = 0.5
-	// fullPause is how long a store without space is left alone.
-	fullPause = time.Second
+	// congestedShare is the part of a link's declared rate below which the observed rate counts as
+	// congestion, and copies are postponed.
+	congestedShare = 0.5
+	// fullBackoff is how long no copy is sent to a store that had no space.
+	fullBackoff = time.Second
 )
 
 // Copy is a background copy from an upstream to a store.
 type Copy struct {
 	// Store is the store's address.
 	Store string
-	// Blocks is how many of the chain's last blocks to copy.
+	// Blocks is how many blocks at the end of the chain are copied.
 	Blocks int
-	// Parent is the key before them, or the zero key.
+	// Parent is the key of the block before them, or the zero key.
 	Parent prefix.Key
 }
 
@@ -37,16 +37,15 @@
 type PostponedCopy struct {
 	Keys []prefix.Key
 	Plan Plan
-	// Tag is the caller's own, to know the prompt again.
+	// Tag is an opaque value by which the caller identifies the prompt.
 	Tag any
 }
 
-// PlanCopy says whether the context of a finished prompt is copied to a store now;
-// p.Plan is the plan under which it ran. Background copies give way to fetches that
-// callers wait for: while one is under way on a store's link, or the link is
-// crowded, the copy is postponed.
+// PlanCopy decides whether the context of a finished prompt is copied to a store now; p.Plan is the
+// plan under which it ran. Fetches that callers wait for take precedence over background copies:
+// while one is in flight on a store's link, or the link is congested, the copy is postponed.
 func (b *Planner) PlanCopy(p PostponedCopy, now time.Time) (Copy, bool) {
-	c, store, ok := b.copyOf(p)
+	c, store, ok := b.buildCopy(p)
 	if !ok {
 		return Copy{}, false
 	}
@@ -55,7 +54,7 @@
 		b.postpone(p)
 		return Copy{}, false
 	}
-	s.copies++
+	s.activeCopies++
 	return c, true
 }
 
@@ -66,27 +65,27 @@
 	}
 }
 
-// NextCopy takes the newest postponed copy whose store's link is free now: the
-// newest is the likeliest to be still in its engine's memory.
+// NextCopy returns the newest postponed copy whose store's link is free now, because the newest is
+// the most likely to be still in its engine's cache.
 func (b *Planner) NextCopy(now time.Time) (PostponedCopy, Copy, bool) {
 	for i := len(b.postponed) - 1; i >= 0; i-- {
 		p := b.postponed[i]
-		c, store, ok := b.copyOf(p)
+		c, store, ok := b.buildCopy(p)
 		if ok && b.stores[store].busy(now) {
 			continue
 		}
 		b.postponed = append(b.postponed[:i:i], b.postponed[i+1:]...)
 		if ok {
-			b.stores[store].copies++
+			b.stores[store].activeCopies++
 			return p, c, true
 		}
 	}
 	return PostponedCopy{}, Copy{}, false
 }
 
-// copyOf says what would be copied where.
-func (b *Planner) copyOf(p PostponedCopy) (c Copy, store int, ok bool) {
-	if len(p.Keys) < minKeepBlocks {
+// buildCopy returns the copy to make for a finished prompt, and the store to copy to.
+func (b *Planner) buildCopy(p PostponedCopy) (c Copy, store int, ok bool) {
+	if len(p.Keys) < minCopyBlocks {
 		return Copy{}, 0, false
 	}
 	n, ok := b.storeForCopy(p.Keys[0], p.Plan)
@@ -94,10 +93,10 @@
 		return Copy{}, 0, false
 	}
 	kept := 0
-	if b.stores[n].address == p.Plan.KeptAt {
-		kept = p.Plan.Kept
+	if b.stores[n].address == p.Plan.StoredAt {
+		kept = p.Plan.StoredBlocks
 	}
-	if len(p.Keys)-kept < minKeepBlocks {
+	if len(p.Keys)-kept < minCopyBlocks {
 		return Copy{}, 0, false
 	}
 	c = Copy{Store: b.stores[n].address, Blocks: len(p.Keys) - kept}
@@ -107,16 +106,16 @@
 	return c, n, true
 }
 
-// busy reports whether no copy may begin on the store's link now.
+// busy reports whether no copy may start on the store's link now.
 func (s *store) busy(now time.Time) bool {
-	crowded := s.rate(now) < s.linkRate*crowdedShare
-	return crowded || s.transfers > 0 || s.copies >= copiesPerStore || now.Before(s.fullUntil)
+	congested := s.rate(now) < s.linkRate*congestedShare
+	return congested || s.activeFetches > 0 || s.activeCopies >= maxCopiesPerStore || now.Before(s.fullUntil)
 }
 
-// storeForCopy takes the store that holds the context's beginning, if one does.
-// Otherwise contexts are spread over the stores of the entry's own failure domain,
-// or over all when it has none, by rendezvous hashing of their first key, so that
-// every entry picks the same one.
+// storeForCopy returns the store that holds the beginning of the context, if there is one.
+// Otherwise contexts are distributed over the stores of the entry's own failure domain, or over all
+// stores if it has none, by rendezvous hashing of their first key, so that every entry of the
+// domain chooses the same store.
 func (b *Planner) storeForCopy(first prefix.Key, p Plan) (int, bool) {
 	best, bestNear := -1, false
 	var bestWeight uint64
@@ -125,19 +124,19 @@
 		if !s.declared {
 			continue
 		}
-		if s.address == p.KeptAt {
+		if s.address == p.StoredAt {
 			best = i
 			break
 		}
 		weight := s.weight(first)
-		if best < 0 || s.near && !bestNear || s.near == bestNear && weight > bestWeight {
-			best, bestNear, bestWeight = i, s.near, weight
+		if best < 0 || s.sameDomain && !bestNear || s.sameDomain == bestNear && weight > bestWeight {
+			best, bestNear, bestWeight = i, s.sameDomain, weight
 		}
 	}
 	return best, best >= 0
 }
 
-// weight is the store's weight for a context in rendezvous hashing.
+// weight returns the store's weight for a context in rendezvous hashing.
 func (s *store) weight(first prefix.Key) uint64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -146,14 +145,14 @@
 	return h.Sum64()
 }
 
-// EndCopy ends a copy of the context with a key and a number of blocks; full says that
-// the store had no space. When object is not nil it is sealed, and the note that is
-// returned makes it known.
+// EndCopy records the end of a copy of the context with the given key and number of blocks; full is
+// true if the store had no space. If object is not nil, the copy succeeded, and the returned note
+// announces the object.
 func (b *Planner) EndCopy(c Copy, key prefix.Key, blocks int, object *StoredObject, full bool, now time.Time) (Note, bool) {
 	s := &b.stores[b.storeNumber(c.Store)]
-	s.copies--
+	s.activeCopies--
 	if full {
-		s.fullUntil = now.Add(fullPause)
+		s.fullUntil = now.Add(fullBackoff)
 	}
 	if object == nil {
 		return Note{}, false
@@ -161,8 +160,8 @@
 	return Note{Key: key, Blocks: blocks, Object: object, Parent: c.Parent}, true
 }
 
-// incarnation numbers a store's blank start; when a new one is seen, the hints to
-// those before it are dropped, because all that they named is gone.
+// incarnation returns the number of a store's incarnation. When a new one is seen, the hints to the
+// earlier ones are removed, because the store starts empty and their objects are gone.
 func (b *Planner) incarnation(n int, name string) uint16 {
 	s := &b.stores[n]
 	for i, known := range s.incarnations {
--- a/internal/coordination/placement/model_test.go
+++ b/internal/coordination/placement/model_test.go
@@ -4,8 +4,8 @@
 	"container/list"
 )
 
-// caching is an engine's or a store's memory: whole contexts by last use.
-type caching struct {
+// lruCache models the cache of an engine or a store: whole contexts, evicted by last use.
+type lruCache struct {
 	capacity, used int
 	order          *list.List
 	at             map[int]*list.Element
@@ -13,19 +13,20 @@
 
 type cached struct{ context, blocks int }
 
-func newCaching(capacity int) *caching {
-	return &caching{capacity: capacity, order: list.New(), at: map[int]*list.Element{}}
+func newLRUCache(capacity int) *lruCache {
+	return &lruCache{capacity: capacity, order: list.New(), at: map[int]*list.Element{}}
 }
 
-func (c *caching) blocks(context int) int {
+func (c *lruCache) blocks(context int) int {
 	if e, ok := c.at[context]; ok {
 		return e.Value.(*cached).blocks
 	}
 	return 0
 }
 
-// put makes a context the newest with a number of blocks, and returns who went.
-func (c *caching) put(context, blocks int) (evicted []int) {
+// put makes a context with a number of blocks the most recently used, and returns the evicted
+// contexts.
+func (c *lruCache) put(context, blocks int) (evicted []int) {
 	if e, ok := c.at[context]; ok {
 		c.used += blocks - e.Value.(*cached).blocks
 		e.Value.(*cached).blocks = blocks
@@ -44,23 +45,23 @@
 	return evicted
 }
 
-func (c *caching) clear() {
+func (c *lruCache) clear() {
 	c.order.Init()
 	c.at = map[int]*list.Element{}
 	c.used = 0
 }
 
-// machine is an engine of the model: slots, and one reader of prompts.
-type machine struct {
-	cache *caching
-	// free holds when each slot is free again.
+// simEngine models an engine: slots, and a prefill that computes one prompt at a time.
+type simEngine struct {
+	cache *lruCache
+	// free holds the time at which each slot becomes free.
 	free        []float64
 	prefillFree float64
 }
 
-// start runs a prompt that is ready at a time, and returns when its first token
-// and its end come.
-func (m *machine) start(ready, prefill, decode float64) (first, end float64) {
+// start runs a prompt that is ready at the given time, and returns the times of its first token and
+// its end.
+func (m *simEngine) start(ready, prefill, decode float64) (first, end float64) {
 	slot := 0
 	for i, t := range m.free {
 		if t < m.free[slot] {
@@ -74,7 +75,7 @@
 	return first, m.free[slot]
 }
 
-func (m *machine) occupied(now float64) int {
+func (m *simEngine) occupied(now float64) int {
 	n := 0
 	for _, t := range m.free {
 		if t > now {
@@ -84,8 +85,8 @@
 	return n
 }
 
-// keeper is a store of the model behind one link.
-type keeper struct {
-	cache    *caching
+// simStore models a store behind one link.
+type simStore struct {
+	cache    *lruCache
 	linkFree float64
 }
--- a/internal/coordination/placement/region_test.go
+++ b/internal/coordination/placement/region_test.go
@@ -28,7 +28,7 @@
     - {name: north, failure_domains: [a, b]}
 `
 
-// stateOf returns the declared state that documents make together.
+// stateOf returns the declared state after applying the documents.
 func stateOf(t testing.TB, docs ...string) *declared.State {
 	t.Helper()
 	state := declared.New()
@@ -44,8 +44,8 @@
 	return state
 }
 
-// TestPromptsStayInTheRegion has the quickest upstream stand in another region; without
-// a declared region it is used.
+// TestPromptsStayInTheRegion has the fastest upstream in another region: it may be used only if no
+// regions are declared.
 func TestPromptsStayInTheRegion(t *testing.T) {
 	cases := []struct {
 		name string
@@ -58,13 +58,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			state := stateOf(t, c.docs...)
-			board := placement.New("a", 10, 1)
-			board.ApplyDeclared(state)
+			planner := placement.New("a", 10, 1)
+			planner.ApplyDeclared(state)
 			model, _ := state.Model("m")
 			p := placement.Prompt{Model: model, Version: "v", Tokens: 10}
 			var got []string
 			for {
-				plan, ok := board.Place(p, time.Unix(0, 0))
+				plan, ok := planner.Place(p, time.Unix(0, 0))
 				if !ok {
 					break
 				}
--- a/internal/coordination/placement/replay_test.go
+++ b/internal/coordination/placement/replay_test.go
@@ -14,11 +14,11 @@
 	"github.com/shedrock/shedrock/internal/state/prefix"
 )
 
-// A replay sends made-up arrivals of returning prompts through the pure decisions
-// and through baselines, against the same model of engines, stores and links. It
-// has no clock and no sockets; its figures are those of the model.
+// A replay sends generated arrivals of prompts through the planner and through baselines, on the
+// same model of engines, stores and links. It uses no clock and no sockets; its results are those
+// of the model.
 
-// figures are what a replay measures.
+// figures are the results of a replay.
 type figures struct {
 	recomputed, prompt float64
 	first              []float64
@@ -37,7 +37,7 @@
 	return s[int(q*float64(len(s)-1))]
 }
 
-// policy says how prompts are placed.
+// policy is a way to place prompts.
 type policy string
 
 const (
@@ -53,44 +53,44 @@
 const (
 	entries     = 8
 	reportEvery = 0.5
-	newBlocks   = 4 // each return adds a question and an answer
+	newBlocks   = 4 // each arrival adds a question and an answer to the context
 	tokenTime   = 0.031
 	warmUpShare = 0.4
 )
 
-// world is the state of one replay.
-type world struct {
-	setup
-	random   *rand.Rand
-	machines []*machine
-	keepers  []*keeper
-	blocks   []int // the length of each context
-	uses     []int
-	figures  figures
-	// reported is what least-load policies see.
+// simulation is the state of one replay.
+type simulation struct {
+	scenario
+	random     *rand.Rand
+	simEngines []*simEngine
+	simStores  []*simStore
+	blocks     []int // length of each context in blocks
+	uses       []int
+	figures    figures
+	// reported is the load that least-load policies see.
 	reported   []int
 	reportedAt float64
-	// What only shedrock has: one board an entry, and when runs end.
-	boards  []*placement.Planner
-	model   declared.Model
-	ends    []ending
-	objects uint64
-	turn    int
+	// Used by the shedrock policy only: one planner per entry, and scheduled events.
+	planners []*placement.Planner
+	model    declared.Model
+	events   []event
+	objects  uint64
+	turn     int
 }
 
-// ending is something that happens at a later time.
-type ending struct {
+// event is scheduled for a later time.
+type event struct {
 	at float64
 	do func()
 }
 
-func newWorld(s setup, seed uint64) *world {
-	w := &world{setup: s, random: rand.New(rand.NewPCG(seed, 1)), figures: figures{perTeam: map[int][]float64{}}}
+func newSimulation(s scenario, seed uint64) *simulation {
+	w := &simulation{scenario: s, random: rand.New(rand.NewPCG(seed, 1)), figures: figures{perTeam: map[int][]float64{}}}
 	for range s.engines {
-		w.machines = append(w.machines, &machine{cache: newCaching(s.cacheBlocks), free: make([]float64, s.slots)})
+		w.simEngines = append(w.simEngines, &simEngine{cache: newLRUCache(s.cacheBlocks), free: make([]float64, s.slots)})
 	}
 	for range s.stores {
-		w.keepers = append(w.keepers, &keeper{cache: newCaching(s.storeBlocks)})
+		w.simStores = append(w.simStores, &simStore{cache: newLRUCache(s.storeBlocks)})
 	}
 	for range s.contexts {
 		w.blocks = append(w.blocks, max(8, int(float64(s.meanBlocks)*w.random.ExpFloat64())))
@@ -102,8 +102,8 @@
 
 func storeAddress(n int) string { return fmt.Sprintf("10.0.1.%d:1", n+1) }
 
-// declare makes the boards from documents, as entries do.
-func (w *world) declare(t testing.TB) {
+// declare makes the planners from declared documents, as entries do.
+func (w *simulation) declare(t testing.TB) {
 	upstreams := "document: upstreams\nversion: 1\nupstreams:\n"
 	for i := range w.engines {
 		upstreams += fmt.Sprintf("  - {name: u%d, address: \"10.0.0.%d:%d\", failure_domain: d, model: m, slots: %d, prefill_tokens_per_second: %g, link_bytes_per_second: %g}\n", i, i%250+1, i/250+1, w.slots, w.prefillRate, w.linkRate)
@@ -118,12 +118,12 @@
 		fmt.Sprintf("document: control\nversion: 1\ncontrol:\n  replicas: [{id: 1, address: \"10.0.2.1:1\", failure_domain: d}]\n  recompute_weight: %g\n", w.recompute))
 	w.model, _ = state.Model("m")
 	for i := range entries {
-		board := placement.New("d", 200_000, uint64(i))
-		board.ApplyDeclared(state)
+		planner := placement.New("d", 200_000, uint64(i))
+		planner.ApplyDeclared(state)
 		for n := range w.engines {
-			board.Upstream(n).Version = "v"
+			planner.Upstream(n).Version = "v"
 		}
-		w.boards = append(w.boards, board)
+		w.planners = append(w.planners, planner)
 	}
 }
 
@@ -140,31 +140,32 @@
 	return time.Unix(0, 0).Add(time.Duration(at * float64(time.Second)))
 }
 
-// report lets load reports be as old as they are.
-func (w *world) report(now float64) {
+// report updates the reported loads every reportEvery seconds, so that they lag as in a real
+// deployment.
+func (w *simulation) report(now float64) {
 	if now-w.reportedAt < reportEvery {
 		return
 	}
 	w.reportedAt = now
-	for n, m := range w.machines {
+	for n, m := range w.simEngines {
 		w.reported[n] = m.occupied(now)
-		for _, board := range w.boards {
+		for _, planner := range w.planners {
 			reading := max(m.prefillFree-now, 0) * w.prefillRate
-			board.Upstream(n).NoteLoad(w.reported[n], 0, int(reading), false)
+			planner.Upstream(n).NoteLoad(w.reported[n], 0, int(reading), false)
 		}
 	}
 }
 
-// transfer moves blocks over a store's link and returns when they have arrived.
-func (w *world) transfer(k *keeper, now float64, blocks int, rate float64) float64 {
+// transfer sends blocks over a store's link and returns the time when they have arrived.
+func (w *simulation) transfer(k *simStore, now float64, blocks int, rate float64) float64 {
 	bytes := float64(blocks*prefix.BlockTokens) * w.bytesPerToken
 	w.figures.linkBytes += bytes
 	k.linkFree = max(k.linkFree, now) + bytes/rate
 	return k.linkFree
 }
 
-// fetch is a transfer that a caller waits for, and that is given up after a limit.
-func (w *world) fetch(k *keeper, now float64, bytes int64, limit, rate float64) (ready float64, gaveUp bool) {
+// fetch is a transfer that a caller waits for, and that is aborted after a timeout.
+func (w *simulation) fetch(k *simStore, now float64, bytes int64, limit, rate float64) (ready float64, gaveUp bool) {
 	begin := max(k.linkFree, now)
 	ready = begin + float64(bytes)/rate
 	if ready > now+limit {
@@ -178,11 +179,11 @@
 	return ready, gaveUp
 }
 
-// finish notes the figures of one prompt.
-func (w *world) finish(a arrival, recomputed int, first float64) {
+// finish records the results of one prompt.
+func (w *simulation) finish(a arrival, recomputed int, first float64) {
 	if a.at < warmUpShare*w.hours*3600 || w.uses[a.context] < 2 {
-		// Only prompts that return count; the first use of a context has nothing to
-		// be reused, whatever the policy.
+		// The first prompt of a context has nothing to reuse under any policy, so only later ones
+		// count.
 		return
 	}
 	w.figures.recomputed += float64(recomputed * prefix.BlockTokens)
@@ -190,15 +191,15 @@
 	w.figures.first = append(w.figures.first, first-a.at)
 }
 
-func (w *world) serve(n int, a arrival, ready float64, recomputed int) (first, end float64) {
+func (w *simulation) serve(n int, a arrival, ready float64, recomputed int) (first, end float64) {
 	decode := w.random.ExpFloat64() * w.outTokens * tokenTime
-	first, end = w.machines[n].start(ready, float64(recomputed*prefix.BlockTokens)/w.prefillRate, decode)
+	first, end = w.simEngines[n].start(ready, float64(recomputed*prefix.BlockTokens)/w.prefillRate, decode)
 	w.finish(a, recomputed, first)
 	return first, end
 }
 
-// baseline places one prompt by a baseline.
-func (w *world) baseline(p policy, a arrival) {
+// baseline places one prompt with a baseline policy.
+func (w *simulation) baseline(p policy, a arrival) {
 	blocks := w.blocks[a.context]
 	n := 0
 	switch p {
@@ -206,7 +207,7 @@
 		n = w.turn % w.engines
 		w.turn++
 	case leastLoad, lruKeeping:
-		for i := range w.machines {
+		for i := range w.simEngines {
 			if w.reported[i] < w.reported[n] {
 				n = i
 			}
@@ -217,13 +218,13 @@
 	case affinity:
 		n = int(uint64(a.context+1) * 0x9e3779b97f4a7c15 >> 32 % uint64(w.engines))
 	}
-	m := w.machines[n]
+	m := w.simEngines[n]
 	have := min(m.cache.blocks(a.context), blocks)
 	ready := a.at
 	rate := w.rate(a.at)
-	var k *keeper
+	var k *simStore
 	if p == lruKeeping {
-		k = w.keepers[a.context%w.stores]
+		k = w.simStores[a.context%w.stores]
 		kept := min(k.cache.blocks(a.context), blocks)
 		if kept > have {
 			ready = w.transfer(k, a.at, kept-have, rate)
@@ -238,7 +239,7 @@
 	}
 }
 
-func (w *world) ties(load int) []int {
+func (w *simulation) ties(load int) []int {
 	var out []int
 	for i, r := range w.reported {
 		if r == load {
@@ -248,40 +249,40 @@
 	return out
 }
 
-// rate is the link's bandwidth, a tenth of it in the faulty hour.
-func (w *world) rate(now float64) float64 {
+// rate returns the link's bandwidth, which drops to a tenth late in the run if slowLink is set.
+func (w *simulation) rate(now float64) float64 {
 	if w.slowLink && now > 0.7*w.hours*3600 {
 		return w.linkRate / 10
 	}
 	return w.linkRate
 }
 
-// place places one prompt by the decisions under test. The balancer picks the
-// entry, and the directory's owner knows the context.
-func (w *world) place(t testing.TB, a arrival) {
-	for len(w.ends) > 0 && w.ends[0].at <= a.at {
-		e := w.ends[0]
-		w.ends = w.ends[1:]
+// place places one prompt with the planner. The entry is chosen at random, as by a load balancer,
+// and the owner of the directory's partition knows the context.
+func (w *simulation) place(t testing.TB, a arrival) {
+	for len(w.events) > 0 && w.events[0].at <= a.at {
+		e := w.events[0]
+		w.events = w.events[1:]
 		e.do()
 	}
-	board := w.boards[w.random.IntN(entries)]
+	planner := w.planners[w.random.IntN(entries)]
 	blocks := w.blocks[a.context]
 	keys := keysOf(a.context, blocks)
-	owner := w.boards[a.context%entries]
+	owner := w.planners[a.context%entries]
 	now := instant(a.at)
-	plan, ok := board.Place(placement.Prompt{Model: w.model, Version: "v", Keys: keys, Tokens: blocks * prefix.BlockTokens, Hints: owner.Find(keys)}, now)
+	plan, ok := planner.Place(placement.Prompt{Model: w.model, Version: "v", Keys: keys, Tokens: blocks * prefix.BlockTokens, Hints: owner.Find(keys)}, now)
 	if !ok {
-		t.Fatal("no upstream")
+		t.Fatal("no upstream was eligible")
 	}
-	m := w.machines[plan.Upstream]
+	m := w.simEngines[plan.Upstream]
 	have := min(m.cache.blocks(a.context), blocks)
 	ready := a.at
 	rate := w.rate(a.at)
 	if plan.Fetch {
-		k := w.keeper(plan.Store)
+		k := w.storeAt(plan.Store)
 		kept := min(k.cache.blocks(a.context), plan.FetchBlocks)
 		got := max(kept, have)
-		board.BeginFetch(plan.Store)
+		planner.BeginFetch(plan.Store)
 		took := placement.FetchResult{Blocks: got, Bytes: int64(float64(max(kept-have, 0)*prefix.BlockTokens) * w.bytesPerToken)}
 		if kept > have {
 			ready, took.Aborted = w.fetch(k, a.at, took.Bytes, plan.FetchTimeout.Seconds(), rate)
@@ -291,66 +292,66 @@
 			got = have
 		}
 		ended := plan
-		w.later(ready, func() {
-			for _, note := range board.EndFetch(&ended, keys, took, instant(ready)) {
+		w.schedule(ready, func() {
+			for _, note := range planner.EndFetch(&ended, keys, took, instant(ready)) {
 				owner.Apply(note, instant(ready))
 			}
-			w.nextCopy(board, ready)
+			w.nextCopy(planner, ready)
 		})
-		// What the shell knows when the run ends, and the copy is planned.
+		// These are the blocks that the entry knows of when the run ends and the copy is planned.
 		if !took.Aborted {
-			plan.Kept = got
+			plan.StoredBlocks = got
 		}
 		have = got
 	}
-	board.NoteReuse(plan, have, now)
+	planner.NoteReuse(plan, have, now)
 	first, end := w.serve(plan.Upstream, a, ready, blocks-have)
-	u := board.Upstream(plan.Upstream)
+	u := planner.Upstream(plan.Upstream)
 	u.Begin(plan.Recompute)
-	w.later(first, func() { u.FirstToken(plan.Recompute) })
-	w.later(end, func() { u.End(time.Duration((end - a.at) * float64(time.Second))) })
+	w.schedule(first, func() { u.FirstToken(plan.Recompute) })
+	w.schedule(end, func() { u.End(time.Duration((end - a.at) * float64(time.Second))) })
 	for _, gone := range m.cache.put(a.context, blocks) {
-		w.evicted(gone, plan.Upstream)
+		w.publishEviction(gone, plan.Upstream)
 	}
 	owner.Apply(placement.Note{Key: keys[blocks-1], Blocks: blocks, Upstream: plan.Name}, now)
-	w.keep(board, owner, a, keys, plan)
+	w.startCopy(planner, owner, a, keys, plan)
 }
 
-// later has something happen at a time.
-func (w *world) later(at float64, do func()) {
-	i, _ := slices.BinarySearchFunc(w.ends, at, func(e ending, at float64) int {
+// schedule runs a function at a time.
+func (w *simulation) schedule(at float64, do func()) {
+	i, _ := slices.BinarySearchFunc(w.events, at, func(e event, at float64) int {
 		if e.at <= at {
 			return -1
 		}
 		return 1
 	})
-	w.ends = slices.Insert(w.ends, i, ending{at, do})
+	w.events = slices.Insert(w.events, i, event{at, do})
 }
 
-// evicted tells every directory, as cache events do.
-func (w *world) evicted(context, n int) {
+// publishEviction removes an evicted context from the owner's directory, as a cache event does.
+func (w *simulation) publishEviction(context, n int) {
 	if w.noEvents {
 		return
 	}
 	keys := keysOf(context, w.blocks[context])
-	owner := w.boards[context%entries]
+	owner := w.planners[context%entries]
 	for at := len(keys) - 1; at >= 0; at -= newBlocks {
 		owner.Directory().NoteEvicted(keys[at], n)
 	}
 }
 
-func (w *world) keeper(address string) *keeper {
-	for i, k := range w.keepers {
+func (w *simulation) storeAt(address string) *simStore {
+	for i, k := range w.simStores {
 		if storeAddress(i) == address {
 			return k
 		}
 	}
-	panic("no such store")
+	panic("unknown store address")
 }
 
-// replay runs one policy over one seed's arrivals.
-func replay(t testing.TB, s setup, p policy, seed uint64) *figures {
-	w := newWorld(s, seed)
+// replay runs one policy over the arrivals of one seed.
+func replay(t testing.TB, s scenario, p policy, seed uint64) *figures {
+	w := newSimulation(s, seed)
 	if p == shedrock {
 		w.declare(t)
 	}
@@ -359,7 +360,7 @@
 		w.report(a.at)
 		if s.loseStore && !lost && a.at > 0.7*s.hours*3600 {
 			lost = true
-			w.keepers[0].cache.clear()
+			w.simStores[0].cache.clear()
 		}
 		if w.uses[a.context] > 0 {
 			w.blocks[a.context] += newBlocks
--- a/internal/coordination/placement/table_test.go
+++ b/internal/coordination/placement/table_test.go
@@ -11,7 +11,7 @@
 	"github.com/shedrock/shedrock/internal/state/prefix"
 )
 
-// row is a policy's figures over several seeds: mean, and the least and most.
+// row formats the results of a policy over several seeds: mean, minimum and maximum.
 func row(v []float64, unit string) string {
 	sum := 0.0
 	for _, x := range v {
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%.3f%s (%.3f-%.3f)", sum/float64(len(v)), unit, slices.Min(v), slices.Max(v))
 }
 
-// seeds is how many seeds each figure is made from.
+// seeds returns how many seeds each result is computed from.
 func seeds() uint64 {
 	switch os.Getenv("SHEDROCK_BENCH") {
 	case "quick", "letter":
@@ -29,19 +29,19 @@
 	return 5
 }
 
-// TestReplayTable prints the table of the design note; see "make bench".
+// TestReplayTable prints the results of all policies; see "make bench".
 func TestReplayTable(t *testing.T) {
 	if os.Getenv("SHEDROCK_BENCH") == "" {
 		t.Skip("set SHEDROCK_BENCH to print the table")
 	}
-	deaf, lost, slow := compressor(), compressor(), nordmjol()
-	deaf.name, deaf.noEvents = "compressor host, no cache events", true
+	eventless, lost, slow := compressor(), compressor(), nordmjol()
+	eventless.name, eventless.noEvents = "compressor host, no cache events", true
 	lost.name, lost.loseStore = "compressor host, a store lost", true
 	slow.name, slow.slowLink = "Nordmjöl, links at a tenth", true
 	fmt.Println("setup,policy,share recomputed,first token p50 s,p95 s,p99 s,link TB")
-	setups := []setup{compressor(), nordmjol(), deaf, lost, slow}
+	setups := []scenario{compressor(), nordmjol(), eventless, lost, slow}
 	if os.Getenv("SHEDROCK_BENCH") == "letter" {
-		setups = []setup{letterDomain()}
+		setups = []scenario{peakDomain()}
 	}
 	for _, s := range setups {
 		for _, p := range policies() {
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestReplayAgainstBaselines holds the decisions to what they gained, at a size that
-// takes a second or two. Nothing in it depends on time.
+// TestReplayAgainstBaselines checks the planner's advantage over the baselines, at a size that
+// takes a second or two. It does not depend on real time.
 func TestReplayAgainstBaselines(t *testing.T) {
 	s := nordmjol()
 	s.contexts, s.storeBlocks, s.cacheBlocks, s.hours = 6000, 125000, 2000, 3
@@ -80,9 +80,8 @@
 	}
 }
 
-// TestSlowLinkIsNotWaitedFor holds the first token to what it is with links at a
-// tenth of their speed: waiting for fetches must not be worse than a few times
-// recomputing.
+// TestSlowLinkIsNotWaitedFor bounds the time to first token with links at a tenth of their speed:
+// waiting for fetches must not take more than a few times as long as recomputing.
 func TestSlowLinkIsNotWaitedFor(t *testing.T) {
 	s := nordmjol()
 	s.contexts, s.storeBlocks, s.cacheBlocks, s.hours, s.slowLink = 6000, 125000, 2000, 3, true
@@ -93,38 +92,38 @@
 	}
 }
 
-// TestLostCacheEventsAreSurvived has no cache event ever arrive: what engines still
-// hold is learned from what they reuse.
+// TestLostCacheEventsAreSurvived checks that without any cache event, what engines still have
+// cached is learned from what they reuse.
 func TestLostCacheEventsAreSurvived(t *testing.T) {
 	s := nordmjol()
 	s.contexts, s.storeBlocks, s.cacheBlocks, s.hours = 6000, 125000, 2000, 3
-	told := replay(t, s, shedrock, 1)
+	withEvents := replay(t, s, shedrock, 1)
 	s.noEvents = true
-	deaf := replay(t, s, shedrock, 1)
-	if deaf.share() > 1.6*told.share() {
-		t.Errorf("recomputed %.3f without cache events, %.3f with them", deaf.share(), told.share())
+	withoutEvents := replay(t, s, shedrock, 1)
+	if withoutEvents.share() > 1.6*withEvents.share() {
+		t.Errorf("recomputed %.3f without cache events, %.3f with them", withoutEvents.share(), withEvents.share())
 	}
 }
 
-// BenchmarkPlace is one decision at the letter's size of a failure domain: 240
-// upstreams and a shard of 7,000 contexts.
+// BenchmarkPlace measures one decision in a failure domain of 240 upstreams, with 7,000 contexts in
+// the entry's directory.
 func BenchmarkPlace(b *testing.B) {
 	s := nordmjol()
 	s.engines, s.contexts = 240, 7000
-	w := newWorld(s, 1)
+	w := newSimulation(s, 1)
 	w.declare(b)
-	board := w.boards[0]
+	planner := w.planners[0]
 	now := time.Unix(0, 0)
 	prompts := make([]placement.Prompt, s.contexts)
 	for i := range prompts {
 		keys := keysOf(i, 64)
-		board.Apply(placement.Note{Key: keys[59], Blocks: 60, Upstream: fmt.Sprintf("u%d", i%240)}, now)
+		planner.Apply(placement.Note{Key: keys[59], Blocks: 60, Upstream: fmt.Sprintf("u%d", i%240)}, now)
 		prompts[i] = placement.Prompt{Model: w.model, Version: "v", Keys: keys, Tokens: 64 * prefix.BlockTokens}
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		if _, ok := board.Place(prompts[i%len(prompts)], now); !ok {
+		if _, ok := planner.Place(prompts[i%len(prompts)], now); !ok {
 			b.Fatal("no plan")
 		}
 	}
--- a/internal/coordination/placement/version_test.go
+++ b/internal/coordination/placement/version_test.go
@@ -11,9 +11,10 @@
 	"github.com/shedrock/shedrock/internal/state/declared"
 )
 
-// A prompt runs on the weights in force, or on those declared before them while more upstreams
-// serve these; never on a version that was not declared, though it be the only one known: an
-// upstream that answered first told such a one, and got the prompts.
+// Guards against running prompts on undeclared weights: the upstream that answered first served a
+// version that was not declared, and got the prompts. A prompt runs on the current version, or on
+// the one declared before it while more upstreams serve that; never on another one, even if it is
+// the only one known.
 func TestOnlyDeclaredVersionsRun(t *testing.T) {
 	state := declared.New()
 	apply := func(step, version int, name, body string) {
@@ -34,14 +35,14 @@
 		upstreams += fmt.Sprintf("  - {name: u%d, address: \"127.0.0.1:%d\", failure_domain: d, model: m, slots: 1, prefill_tokens_per_second: 1, link_bytes_per_second: 1}\n", i, 9000+i)
 	}
 	apply(2, 1, "upstreams", upstreams)
-	board := placement.New("d", 10, 1)
+	planner := placement.New("d", 10, 1)
 	serving := func(versions ...string) string {
-		board.ApplyDeclared(state)
+		planner.ApplyDeclared(state)
 		for i, version := range versions {
-			board.Upstream(i).Version = version
+			planner.Upstream(i).Version = version
 		}
 		model, _ := state.Model("m")
-		return board.ServingVersion(model, nil, time.Unix(0, 0))
+		return planner.ServingVersion(model, nil, time.Unix(0, 0))
 	}
 	got := []string{serving("v0", "", ""), serving("v0", "v0", "v1")}
 	apply(3, 2, "models", models("v2"))
