--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -5,71 +5,72 @@
 )
 
 const (
-	// FetchLease is how long a part may be fetched after it was read from its store. Under
-	// load a fetch waits up to 2 s for the links of the store and the engine, and a part is
-	// named again only once a leader has read its store; with 2 s in all, 60 to 1,900
-	// fetches a minute came too late and their parts were read again, with 6 s none. More
-	// (10 s, 15 s) measured the same, and would hold the room of old weights for longer.
+	// FetchLease is how long a part may be fetched after it was read from its store's list. Under
+	// load a fetch waits up to 2 s for the links of the store and the engine, and the lease is
+	// renewed only once a leader has read the store again: with 2 s in all, 60 to 1,900 fetches per
+	// minute came too late and their parts were computed again, with 6 s none. 10 s and 15 s gave
+	// the same result, and would hold the space of old weights for longer.
 	FetchLease = 6 * time.Second
-	// freeMargin is waited on top of NamedFor before a part is freed, for what clocks of
-	// stores and engines differ.
-	freeMargin = time.Second
-	// block is the unit in which stores give room, in tokens.
-	block = 16
+	// clockMargin is added to FetchLease before a part is freed, to cover clock differences between
+	// stores and engines.
+	clockMargin = time.Second
+	// blockTokens is the unit in which stores allocate space.
+	blockTokens = 16
 )
 
-// Part is one part of a prompt under a salt.
+// Part identifies one part of a prompt under a salt.
 type Part struct{ Salt, ID string }
 
-// StoredPart is a part that is whole in a store.
+// StoredPart is a part that is complete in a store.
 type StoredPart struct {
 	Part
 	Tokens int
 }
 
-// Batch is what a store tells of its changes.
+// Batch is a batch of changes that a store reports.
 type Batch struct {
-	// Epoch is new at each start of the store, and Next marks the place behind the batch.
+	// Epoch changes at each start of the store, and Next is the cursor after the batch.
 	Epoch, Next uint64
-	// Gap says that changes were lost.
+	// Gap is true if changes were lost.
 	Gap     bool
 	Changes []Change
-	// Clock is the time on the clock of stores and engines.
+	// Clock is the time on the clock that stores and engines share.
 	Clock time.Duration
 }
 
-// Change says how many tokens of a part are kept now; 0 when it is gone.
+// Change says how many tokens of a part are stored now; 0 if it was removed.
 type Change struct{ StoredPart }
 
-// StoreState is what the leader knows of one store. It is not safe for concurrent use. The zero
-// value knows nothing and wants a list.
+// StoreState is what the leader knows about one store. It is not safe for concurrent use. The zero
+// value knows nothing and needs a list.
 type StoreState struct {
 	// Capacity is the store's size in tokens.
 	Capacity int
-	// NewestVersion returns the newest version of a model's weights.
+	// NewestVersion returns the newest weight version of a model.
 	NewestVersion func(model string) uint64
-	// OpenEpoch is a start of the store at which it was open for saves, as an earlier leader
-	// told; 0 when none is known. A start that was once open stays so.
+	// OpenEpoch is an epoch of the store in which it was open for saves, as published by an earlier
+	// leader; 0 if none is known. A store stays open until its epoch changes.
 	OpenEpoch uint64
 
 	epoch, next uint64
 	listed      bool
 	parts       map[Part]int
-	// retired holds when a part of older weights was last named, or could have been by
-	// another leader: the clock when this book began or when the part grew old.
+	// retired holds, for each part of outdated weights, when its lease was last renewed, or could
+	// have been by another leader: the clock when this state was created or when the part became
+	// outdated.
 	retired map[Part]time.Duration
-	// openAt is when the store may be saved to.
+	// openAt is the clock time from which the store is open for saves.
 	openAt time.Duration
 }
 
-// Next returns the mark for the next batch.
+// Next returns the cursor of the next batch.
 func (b *StoreState) Next() uint64 { return b.next }
 
-// Epoch returns the store's start.
+// Epoch returns the store's epoch.
 func (b *StoreState) Epoch() uint64 { return b.epoch }
 
-// ApplyBatch takes a batch; it reports whether the store's whole list is needed instead.
-func (b *StoreState) ApplyBatch(in Batch) (list bool) {
+// ApplyBatch applies a batch; it reports whether the store's whole list is needed instead.
+func (b *StoreState) ApplyBatch(in Batch) (needList bool) {
 	if !b.listed || in.Epoch != b.epoch || in.Gap {
 		return true
 	}
@@ -80,10 +81,10 @@
 	return false
 }
 
-// ApplyList takes a store's whole list, read at a clock time.
+// ApplyList replaces the state with a store's whole list, read at a clock time.
 func (b *StoreState) ApplyList(epoch, next uint64, held []StoredPart, clock time.Duration) {
-	if b.mayBeLookedFor(epoch) {
-		b.openAt = clock + FetchLease + freeMargin
+	if b.mayHaveActiveLeases(epoch) {
+		b.openAt = clock + FetchLease + clockMargin
 	}
 	if epoch != b.epoch || b.retired == nil {
 		b.retired = map[Part]time.Duration{}
@@ -97,11 +98,11 @@
 	}
 }
 
-// mayBeLookedFor reports whether parts that were named at an earlier start of the store may
-// still be fetched: nothing is written under the same names until that has ended, as a fetch
-// would find a part half written. A new leader does not know what was named before, unless
-// an earlier one has told that this start is open.
-func (b *StoreState) mayBeLookedFor(epoch uint64) bool {
+// mayHaveActiveLeases reports whether parts that were published in an earlier epoch of the store
+// may still be fetched. Nothing may be saved under the same names until those leases have ended,
+// because a fetch would find a part that is half written. A new leader does not know what was
+// published before, unless an earlier leader has published that this epoch is open.
+func (b *StoreState) mayHaveActiveLeases(epoch uint64) bool {
 	if !b.listed {
 		return epoch != b.OpenEpoch
 	}
@@ -117,12 +118,12 @@
 	b.parts[h.Part] = h.Tokens
 }
 
-// Fetchable returns the parts that may be fetched until NamedFor after the clock, and notes
-// those that are too old for it.
+// Fetchable returns the parts that may be fetched until FetchLease after the clock time, and
+// retires those of outdated weights.
 func (b *StoreState) Fetchable(clock time.Duration) map[Part]int {
 	out := make(map[Part]int, len(b.parts))
 	for part, tokens := range b.parts {
-		if !b.old(part) {
+		if !b.outdated(part) {
 			out[part] = tokens
 			continue
 		}
@@ -133,25 +134,25 @@
 	return out
 }
 
-// old reports whether a part was made by weights that are no longer the newest. A part
-// that nobody here made has no version, and is left alone.
-func (b *StoreState) old(part Part) bool {
+// outdated reports whether a part was computed with weights that are no longer the newest. A part
+// whose salt has another format has no version, and is never freed.
+func (b *StoreState) outdated(part Part) bool {
 	model, version, ok := VersionOf(part.Salt)
 	return ok && version < b.NewestVersion(model)
 }
 
-// Freeable returns the parts whose room may be freed now.
+// Freeable returns the parts whose space may be freed now.
 func (b *StoreState) Freeable(clock time.Duration) []Part {
 	var out []Part
 	for part, since := range b.retired {
-		if _, held := b.parts[part]; held && clock >= since+FetchLease+freeMargin {
+		if _, held := b.parts[part]; held && clock >= since+FetchLease+clockMargin {
 			out = append(out, part)
 		}
 	}
 	return out
 }
 
-// CurrentOpenEpoch returns the store's start if it may be saved to, and 0 while it rests.
+// CurrentOpenEpoch returns the store's epoch if it is open for saves, and 0 otherwise.
 func (b *StoreState) CurrentOpenEpoch(clock time.Duration) uint64 {
 	if clock < b.openAt {
 		return 0
@@ -166,7 +167,7 @@
 	}
 	used := 0
 	for _, tokens := range b.parts {
-		used += (tokens + block - 1) / block * block
+		used += (tokens + blockTokens - 1) / blockTokens * blockTokens
 	}
 	return max(b.Capacity-used, 0)
 }
--- a/internal/coordination/keeping/choose.go
+++ b/internal/coordination/keeping/choose.go
@@ -11,53 +11,54 @@
 )
 
 const (
-	// freshFor is how long what a store keeps is gone by after it was told; after that, a
-	// fetch would be thrown away before it ends more often than not.
-	freshFor = FetchLease / 2
-	// savedFor is how long a store is saved to after its leader told of it. It is shorter than
-	// the time in which a store starts anew (2 s and more): until a leader has read the store
-	// again, nothing is written there under names that others may still fetch.
-	savedFor = time.Second
-	// farTimes is how much longer a move takes from one failure domain to another, as the
-	// interface of engines tells.
-	farTimes = 2
-	// fullShare is the open part of a store below which it gets fewer new parts: entries know
-	// what is open 0.2 to 0.5 s late, and what finds no room is lost and read once more. In
-	// three calm runs a quarter of what was read again came from that (0.59 to 0.45 million
-	// tokens).
-	fullShare = 0.25
-	// spareTimes is how often a part must fit into what is open, for the same reason.
-	spareTimes = 2
+	// maxFetchAge is the age up to which a store's contents are used for fetches. With older
+	// contents, the fetch would be discarded before it ends more often than not.
+	maxFetchAge = FetchLease / 2
+	// maxSaveAge is the age of a store's contents up to which parts are saved there. It is shorter
+	// than the restart of a store (2 s and more): until a leader has read the store again, nothing
+	// may be written there under names that others may still fetch.
+	maxSaveAge = time.Second
+	// crossDomainFactor is how much longer a transfer between failure domains takes, as the
+	// interface of engines specifies.
+	crossDomainFactor = 2
+	// lowSpaceShare is the free part of a store below which it gets fewer new parts: entries learn
+	// of the free space 0.2 to 0.5 s late, and a part that finds no space is lost and computed once
+	// more. In three undisturbed runs, a quarter of the recomputed tokens came from that (0.59 to
+	// 0.45 million tokens).
+	lowSpaceShare = 0.25
+	// spaceFactor is how many times a part must fit into the free space, for the same reason.
+	spaceFactor = 2
 )
 
-// Stores is what an entry knows of stores when it chooses among them.
+// Stores is what an entry knows about the stores that it chooses from.
 type Stores struct {
-	// Contents and Declared are by the stores' addresses.
+	// Contents and Declared are keyed by the stores' addresses.
 	Contents map[string]StoreContents
 	Declared map[string]deployment.Store
 	Now      time.Time
 }
 
-// Holder returns a store from which a part may be fetched, the one that is named longest.
+// Holder returns a store from which a part may be fetched, the one with the longest lease.
 func (s Stores) Holder(part Part) (address string, kept StoreContents, ok bool) {
 	for name, k := range s.Contents {
-		if k.Parts[part] > 0 && s.Now.Sub(k.ReceivedAt) < freshFor && k.Until > kept.Until {
+		if k.Parts[part] > 0 && s.Now.Sub(k.ReceivedAt) < maxFetchAge && k.Until > kept.Until {
 			address, kept, ok = name, k, true
 		}
 	}
 	return address, kept, ok
 }
 
-// Place chooses the store for a new part that is read in a failure domain: by rendezvous
-// hashing, so that entries that read it there choose the same, weighted by how quickly the part
-// moves to the store and back. Weighted by what is open instead, four fifths of all parts were in
-// two stores of six, whose links were full in bursts (28 Gbit/s of 28) while quicker ones were
-// nearly idle; short prompts got their first piece after 144 ms in the median, and so after 113.
+// Place chooses the store for a new part that is computed in a failure domain. It uses rendezvous
+// hashing, so that entries whose engines compute the part there choose the same store, weighted by
+// how fast the part is transferred to the store and back. When weighted by free space instead, four
+// fifths of all parts were in two stores of six, whose links were saturated in bursts (28 of 28
+// Gbit/s) while faster ones were nearly idle; the median time to the first piece of short prompts
+// was 144 ms, and 113 ms with the weights used now.
 func (s Stores) Place(part Part, tokens int, domain string) (address string, ok bool) {
 	best := 0.0
 	for _, name := range slices.Sorted(maps.Keys(s.Contents)) {
 		k := s.Contents[name]
-		if k.FreeTokens < spareTimes*tokens || s.Now.Sub(k.ReceivedAt) >= savedFor {
+		if k.FreeTokens < spaceFactor*tokens || s.Now.Sub(k.ReceivedAt) >= maxSaveAge {
 			continue
 		}
 		draw := float64(xxhash.Sum64String(name+"/"+part.ID)>>11) / (1 << 53)
@@ -68,18 +69,18 @@
 	return address, ok
 }
 
-// weight is the speed of a store's link as seen from a failure domain, less once it is nearly
-// full. The links of stores that do not tell their speed count as equal.
+// weight returns the speed of a store's link as seen from a failure domain, reduced once the store
+// is nearly full. Stores that do not declare the speed of their link count as equal.
 func weight(store deployment.Store, open int, domain string) float64 {
 	speed := store.LinkRate
 	if speed <= 0 {
 		speed = 1
 	}
 	if store.FailureDomain != domain {
-		speed /= farTimes
+		speed /= crossDomainFactor
 	}
 	if store.MemoryTokens > 0 {
-		speed *= min(1, float64(open)/(fullShare*float64(store.MemoryTokens)))
+		speed *= min(1, float64(open)/(lowSpaceShare*float64(store.MemoryTokens)))
 	}
 	return speed
 }
--- a/internal/coordination/keeping/choose_test.go
+++ b/internal/coordination/keeping/choose_test.go
@@ -11,7 +11,7 @@
 	"github.com/shedrock/shedrock/internal/state/deployment"
 )
 
-// twoStores are a quick small one and a slow large one, in two failure domains.
+// twoStores are a fast small store and a slow large one, in two failure domains.
 func twoStores(quickOpen int) keeping.Stores {
 	now := time.Unix(0, 0)
 	return keeping.Stores{
@@ -24,8 +24,8 @@
 	}
 }
 
-// inQuick counts how many of a thousand parts go to the quick store.
-func inQuick(s keeping.Stores, domain string) int {
+// countInQuick returns how many of a thousand parts are placed in the store "quick".
+func countInQuick(s keeping.Stores, domain string) int {
 	n := 0
 	for i := range 1000 {
 		address, ok := s.Place(keeping.Part{ID: fmt.Sprint(i)}, 1000, domain)
@@ -36,22 +36,22 @@
 	return n
 }
 
-// New parts go where they move quickly, whatever is open there; to a store in the same failure
-// domain more often; and to one that is nearly full less often.
+// New parts are placed in the faster store, even if it has less free space; more often if it is in
+// the same failure domain, and less often if it is nearly full.
 func TestPartsGoToQuickStores(t *testing.T) {
-	near, far := inQuick(twoStores(60_000), "a"), inQuick(twoStores(60_000), "b")
+	near, far := countInQuick(twoStores(60_000), "a"), countInQuick(twoStores(60_000), "b")
 	if near < 800 || far < 500 || far >= near {
-		t.Errorf("%d of 1000 in the near quick store, %d in the far one", near, far)
+		t.Errorf("%d of 1000 in the quick store from its own failure domain, %d from another one", near, far)
 	}
-	if n := inQuick(twoStores(3_000), "a"); n == 0 || n > near/2 {
-		t.Errorf("%d of 1000 in a quick store that is nearly full", n)
+	if n := countInQuick(twoStores(3_000), "a"); n == 0 || n > near/2 {
+		t.Errorf("%d of 1000 in the quick store when it is nearly full", n)
 	}
-	if diff := cmp.Diff(0, inQuick(twoStores(1_000), "a")); diff != "" {
-		t.Error("in a store that is full: ", diff)
+	if diff := cmp.Diff(0, countInQuick(twoStores(1_000), "a")); diff != "" {
+		t.Error("in a full store: ", diff)
 	}
 }
 
-// All entries choose the same store for a part, also where links are not told.
+// All entries choose the same store for a part, even if the stores declare no link speed.
 func TestEntriesAgreeOnAStore(t *testing.T) {
 	s := twoStores(60_000)
 	s.Declared = nil
--- a/internal/coordination/keeping/keeping_test.go
+++ b/internal/coordination/keeping/keeping_test.go
@@ -10,7 +10,7 @@
 	"github.com/shedrock/shedrock/internal/coordination/keeping"
 )
 
-func TestSaltsAreApart(t *testing.T) {
+func TestSaltsAreDistinct(t *testing.T) {
 	salts := []keeping.Salt{
 		{Model: "m", Version: 1}, {Model: "m", Version: 11}, {Model: "m", Version: 1, Team: "t"},
 		{Model: `m"/"t`, Version: 1}, {Model: "m/t", Version: 1}, {Model: "m", Version: 1, Team: "shared"},
@@ -18,7 +18,7 @@
 	seen := map[string]keeping.Salt{}
 	for _, s := range salts {
 		if other, ok := seen[s.String()]; ok {
-			t.Errorf("%+v and %+v have one salt", s, other)
+			t.Errorf("%+v and %+v have the same salt", s, other)
 		}
 		seen[s.String()] = s
 		model, version, ok := keeping.VersionOf(s.String())
@@ -31,22 +31,22 @@
 	}
 }
 
-// held is one part of the model "m" with a version.
-func held(version uint64, id string, tokens int) keeping.StoredPart {
+// storedPart returns a part of model "m" with a weight version.
+func storedPart(version uint64, id string, tokens int) keeping.StoredPart {
 	return keeping.StoredPart{Part: keeping.Part{Salt: keeping.Salt{Model: "m", Version: version}.String(), ID: id}, Tokens: tokens}
 }
 
-func TestBookFollowsChanges(t *testing.T) {
+func TestStoreStateAppliesChanges(t *testing.T) {
 	b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }, OpenEpoch: 1}
 	if !b.ApplyBatch(keeping.Batch{Epoch: 1}) {
-		t.Fatal("an empty book wants no list")
+		t.Fatal("an empty state needs no list")
 	}
-	b.ApplyList(1, 5, []keeping.StoredPart{held(1, "a", 100)}, 0)
-	list := b.ApplyBatch(keeping.Batch{Epoch: 1, Next: 7, Changes: []keeping.Change{{StoredPart: held(1, "b", 20)}, {StoredPart: held(1, "a", 0)}}})
+	b.ApplyList(1, 5, []keeping.StoredPart{storedPart(1, "a", 100)}, 0)
+	list := b.ApplyBatch(keeping.Batch{Epoch: 1, Next: 7, Changes: []keeping.Change{{StoredPart: storedPart(1, "b", 20)}, {StoredPart: storedPart(1, "a", 0)}}})
 	if diff := cmp.Diff(false, list); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(map[keeping.Part]int{held(1, "b", 0).Part: 20}, b.Fetchable(0)); diff != "" {
+	if diff := cmp.Diff(map[keeping.Part]int{storedPart(1, "b", 0).Part: 20}, b.Fetchable(0)); diff != "" {
 		t.Error(diff)
 	}
 	// 20 tokens take two blocks of 16.
@@ -54,38 +54,39 @@
 		t.Error(diff)
 	}
 	if !b.ApplyBatch(keeping.Batch{Epoch: 1, Gap: true}) || !b.ApplyBatch(keeping.Batch{Epoch: 2}) {
-		t.Error("a gap or a restart wants no list")
+		t.Error("no list is needed after a gap or a restart")
 	}
 }
 
-// A store that restarted takes nothing new until what was named before cannot be fetched.
-func TestRestartedStoreRests(t *testing.T) {
+// Guards against overwriting a part during a fetch: a store that restarted accepts no saves until
+// the leases of its earlier epoch have ended.
+func TestRestartedStoreIsClosedForSaves(t *testing.T) {
 	b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }}
 	b.ApplyList(1, 0, nil, 0)
 	b.ApplyList(2, 0, nil, 10*time.Second)
-	rests(t, &b, 10*time.Second)
+	checkOpensAfterLease(t, &b, 10*time.Second)
 }
 
-// rests checks that nothing may be saved from a time on until the names of before have ended,
-// and that the store is open then.
-func rests(t *testing.T, b *keeping.StoreState, from time.Duration) {
+// checkOpensAfterLease checks that nothing may be saved until the leases that were published before
+// a time have ended, and that the store is open after that.
+func checkOpensAfterLease(t *testing.T, b *keeping.StoreState, from time.Duration) {
 	t.Helper()
 	if b.FreeTokens(from+keeping.FetchLease) != 0 || b.CurrentOpenEpoch(from+keeping.FetchLease) != 0 {
-		t.Error("a store is open while what was named before may be looked for")
+		t.Error("the store is open although earlier leases may be active")
 	}
 	after := from + 2*keeping.FetchLease
 	if b.FreeTokens(after) == 0 || b.CurrentOpenEpoch(after) != b.Epoch() {
-		t.Error("a store is not open though nothing is looked for any more")
+		t.Error("the store is not open although all earlier leases have ended")
 	}
 }
 
-// A new leader cannot know whether a store restarted before it, and lets it rest, unless an
-// earlier one told that the store has been open since the same start.
-func TestNewLeaderLetsStoresRest(t *testing.T) {
+// A new leader cannot know whether a store restarted before its term, and keeps it closed for the
+// time of a lease, unless an earlier leader published that the store is open in the same epoch.
+func TestNewLeaderDelaysSaves(t *testing.T) {
 	for _, known := range []uint64{0, 1} {
 		b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }, OpenEpoch: known}
 		b.ApplyList(2, 0, nil, time.Second)
-		rests(t, &b, time.Second)
+		checkOpensAfterLease(t, &b, time.Second)
 	}
 	b := keeping.StoreState{Capacity: 1000, NewestVersion: func(string) uint64 { return 1 }, OpenEpoch: 2}
 	b.ApplyList(2, 0, nil, time.Second)
@@ -94,37 +95,37 @@
 	}
 }
 
-// Under any course of saves, new versions, restarts and new leaders, a part is freed or written
-// anew only after every fetch that it was named for has ended.
-func TestNothingChangesUnderAFetch(t *testing.T) {
+// For any sequence of saves, new versions, restarts and new leaders, a part is freed or overwritten
+// only after every lease on it has ended.
+func TestNoPartChangesDuringAFetch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		newest := uint64(1)
 		clock := time.Duration(0)
 		store := map[keeping.Part]int{}
 		epoch := uint64(1)
-		// open is the newest start of the store that a leader told to be open.
+		// open is the latest epoch of the store that a leader published as open.
 		open := uint64(0)
-		newBook := func() *keeping.StoreState {
+		newState := func() *keeping.StoreState {
 			return &keeping.StoreState{Capacity: 10_000, NewestVersion: func(string) uint64 { return newest }, OpenEpoch: open}
 		}
-		book := newBook()
-		// until holds the latest time until which a part was named by any leader.
+		state := newState()
+		// until holds the end of the latest lease that any leader published for each part.
 		until := map[keeping.Part]time.Duration{}
 		read := func() {
 			var list []keeping.StoredPart
 			for part, tokens := range store {
 				list = append(list, keeping.StoredPart{Part: part, Tokens: tokens})
 			}
-			book.ApplyList(epoch, 0, list, clock)
-			for part := range book.Fetchable(clock) {
+			state.ApplyList(epoch, 0, list, clock)
+			for part := range state.Fetchable(clock) {
 				until[part] = clock + keeping.FetchLease
 			}
-			if book.FreeTokens(clock) > 0 {
-				open = book.CurrentOpenEpoch(clock)
+			if state.FreeTokens(clock) > 0 {
+				open = state.CurrentOpenEpoch(clock)
 			}
-			for _, part := range book.Freeable(clock) {
+			for _, part := range state.Freeable(clock) {
 				if clock <= until[part] {
-					t.Fatalf("%v is freed at %s, and may be fetched until %s", part, clock, until[part])
+					t.Fatalf("%v is freed at %s, but its lease ends at %s", part, clock, until[part])
 				}
 				delete(store, part)
 			}
@@ -134,19 +135,19 @@
 			case 0:
 				newest++
 			case 1:
-				book = newBook()
+				state = newState()
 			case 2:
 				store = map[keeping.Part]int{}
 				epoch++
 			case 3, 4, 5:
 				version := uint64(rapid.IntRange(int(max(newest, 2))-1, int(newest)).Draw(t, "version"))
-				h := held(version, rapid.StringMatching("[a-d]").Draw(t, "id"), 100)
+				h := storedPart(version, rapid.StringMatching("[a-d]").Draw(t, "id"), 100)
 				read()
-				if book.FreeTokens(clock) == 0 {
+				if state.FreeTokens(clock) == 0 {
 					continue
 				}
 				if _, whole := store[h.Part]; !whole && clock <= until[h.Part] {
-					t.Fatalf("%v is written at %s, and may be fetched until %s", h.Part, clock, until[h.Part])
+					t.Fatalf("%v is written at %s, but its lease ends at %s", h.Part, clock, until[h.Part])
 				}
 				store[h.Part] = h.Tokens
 			default:
@@ -154,14 +155,14 @@
 				read()
 			}
 		}
-		// In the end only the newest version takes room.
+		// At the end, only the newest version takes up space.
 		for end := clock + 2*keeping.FetchLease; clock < end; {
 			clock += 2 * time.Second
 			read()
 		}
 		for part := range store {
 			if _, version, _ := keeping.VersionOf(part.Salt); version < newest {
-				t.Fatalf("%v of old weights is still there", part)
+				t.Fatalf("%v of outdated weights is still stored", part)
 			}
 		}
 	})
--- a/internal/coordination/keeping/kept.go
+++ b/internal/coordination/keeping/kept.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// StoreContents is what one store holds, as the leader of the control log told.
+// StoreContents is what one store holds, as published by the leader of the control log.
 type StoreContents struct {
-	// Until is the time on the clock of stores and engines until which Parts may be fetched.
+	// Until is the time, on the clock of stores and engines, until which Parts may be fetched.
 	Until time.Duration
-	// FreeTokens is how many tokens may be saved, and OpenEpoch the start of the store at which
-	// it may be saved to; 0 while it rests after a start.
+	// FreeTokens is how many tokens may be saved. OpenEpoch is the store's epoch if it is open for
+	// saves, and 0 while it is not, for some time after a start.
 	FreeTokens int
 	OpenEpoch  uint64
-	// Parts holds the tokens of each part that is whole. It never changes.
+	// Parts holds the number of tokens of each complete part. The map is never modified.
 	Parts map[Part]int
-	// ReceivedAt is when this process learned of it.
+	// ReceivedAt is when this process received the contents.
 	ReceivedAt time.Time
 }
--- a/internal/coordination/keeping/salt.go
+++ b/internal/coordination/keeping/salt.go
@@ -1,12 +1,11 @@
-// Package keeping decides what is known of kept context in stores that drop nothing by
-// themselves: which parts are whole, until when they may be fetched, and when the room of
-// a part may be freed.
+// Package keeping tracks the KV cache in stores that evict nothing themselves: which parts are
+// complete, until when they may be fetched, and when the space of a part may be freed.
 //
-// The invariant: a part is freed only after every fetch that it was named for has ended.
-// One process at a time names parts, the leader of the control log, and it names them
-// until a time on the clock of the stores and engines, at which an engine throws away what
-// has not arrived. So no clock of ours counts, and whoever is frozen or cut off names
-// nothing that outlives that time.
+// The invariant: a part is freed only after every lease on it has ended. Only one process at a time
+// publishes leases, the leader of the control log. A lease ends at a time on the clock of the
+// stores and engines, at which an engine discards what has not arrived. So the correctness does not
+// depend on the clocks of this program, and a process that is suspended or partitioned cannot
+// extend a lease beyond that time.
 package keeping
 
 import (
@@ -14,16 +13,16 @@
 	"strings"
 )
 
-// Salt separates kept context of models, weight versions and teams that share nothing.
+// Salt separates the KV cache of models, weight versions and teams that must not share any.
 type Salt struct {
 	Model   string
 	Version uint64
-	// Team is empty for context that teams share.
+	// Team is empty for KV cache that teams share.
 	Team string
 }
 
-// String gives the salt as engines and stores see it. Names are quoted, so that no team's
-// name reads as another salt.
+// String returns the salt in the form that engines and stores use. Names are quoted, so that no
+// team's name can produce another salt.
 func (s Salt) String() string {
 	text := "v" + strconv.FormatUint(s.Version, 10) + "/" + strconv.Quote(s.Model)
 	if s.Team != "" {
@@ -32,11 +31,11 @@
 	return text
 }
 
-// VersionOf returns the model and weight version of a salt's text.
+// VersionOf returns the model and weight version of a salt.
 func VersionOf(text string) (model string, version uint64, ok bool) {
 	head, rest, found := strings.Cut(text, "/")
-	number, found2 := strings.CutPrefix(head, "v")
-	if !found || !found2 {
+	number, versioned := strings.CutPrefix(head, "v")
+	if !found || !versioned {
 		return "", 0, false
 	}
 	version, err := strconv.ParseUint(number, 10, 64)
