--- a/internal/transport/fleet/catch_up_fixture_test.go
+++ b/internal/transport/fleet/catch_up_fixture_test.go
@@ -46,7 +46,7 @@
 func hearFleet(controls []*control, n int) {
 	for _, c := range controls {
 		for i := range n {
-			c.source.Load().Hear(fleetInstance(i))
+			c.source.Load().RecordHeartbeat(fleetInstance(i))
 		}
 	}
 }
--- a/internal/transport/fleet/catch_up_test.go
+++ b/internal/transport/fleet/catch_up_test.go
@@ -143,7 +143,7 @@
 		t.Fatal("the newest is not known first")
 	}
 	leaving.Leaving, leaving.Sequence = true, 2
-	controls[0].source.Load().Hear(leaving)
+	controls[0].source.Load().RecordHeartbeat(leaving)
 	wait(t, "it is gone", func() bool { return !slices.Contains(live(f), leaving.ID) })
 	if got := len(live(f)); got >= n-1 {
 		t.Errorf("all %d others were told before", got)
@@ -158,7 +158,7 @@
 	const n = 2 * fleetSize
 	controls := startFleet(t, n)
 	gone := instance("gone", 1)
-	controls[0].source.Load().Hear(gone)
+	controls[0].source.Load().RecordHeartbeat(gone)
 	f, logged := followLogged(t, slowLink(t, controls)...)
 	wait(t, "everything is told", func() bool { return logged.of("caught_up") == controlSeen })
 	if diff := cmp.Diff(n+1, len(live(f))); diff != "" {
@@ -314,7 +314,7 @@
 		kept := partsOf(1, n)
 		publish(kept)
 		for i := range fleetSize {
-			source.Hear(fleetInstance(i))
+			source.RecordHeartbeat(fleetInstance(i))
 		}
 		unpaged, err := source.Watch(ctx, &wire.FleetRequest{})
 		if err != nil {
@@ -360,7 +360,7 @@
 func TestSourceThatWasLostTellsAgain(t *testing.T) {
 	t.Parallel()
 	near, far := fleet.NewSource(t.Context(), time.Hour, quiet), fleet.NewSource(t.Context(), time.Hour, quiet)
-	far.Hear(instance("x", 1))
+	far.RecordHeartbeat(instance("x", 1))
 	var cut atomic.Bool
 	f, _ := followLogged(t,
 		serve(t, near, func(int64) bool { return true }),
--- a/internal/transport/fleet/configuration_test.go
+++ b/internal/transport/fleet/configuration_test.go
@@ -24,7 +24,7 @@
 	wait(t, "5 holds", func() bool { c := f.View().Config; return c != nil && c.Version == 5 })
 	polls := b.polls.Load()
 	b.install(3)
-	b.source.Load().Hear(instance("x", 1))
+	b.source.Load().RecordHeartbeat(instance("x", 1))
 	wait(t, "b was heard", func() bool { return b.polls.Load() > polls && len(live(f)) == 1 })
 	if diff := cmp.Diff(uint64(5), f.View().Config.Version); diff != "" {
 		t.Error(diff)
--- a/internal/transport/fleet/fleet_test.go
+++ b/internal/transport/fleet/fleet_test.go
@@ -10,11 +10,11 @@
 func TestLeavingReachesTheFollowerFromAnySource(t *testing.T) {
 	a, b := newControl(t), newControl(t)
 	f := follow(t, a, b)
-	a.source.Load().Hear(instance("x", 1))
+	a.source.Load().RecordHeartbeat(instance("x", 1))
 	wait(t, "x lives", func() bool { return len(live(f)) == 1 })
 	leaving := instance("x", 2)
 	leaving.Leaving = true
-	b.source.Load().Hear(leaving)
+	b.source.Load().RecordHeartbeat(leaving)
 	wait(t, "x is gone", func() bool { return len(live(f)) == 0 })
 }
 
@@ -23,11 +23,11 @@
 func TestRestartedSource(t *testing.T) {
 	a := newControl(t)
 	f := follow(t, a)
-	a.source.Load().Hear(instance("x", 1))
-	a.source.Load().Hear(instance("y", 1))
+	a.source.Load().RecordHeartbeat(instance("x", 1))
+	a.source.Load().RecordHeartbeat(instance("y", 1))
 	wait(t, "both live", func() bool { return len(live(f)) == 2 })
 	a.restart()
-	a.source.Load().Hear(instance("x", 2))
+	a.source.Load().RecordHeartbeat(instance("x", 2))
 	stop := make(chan struct{})
 	go func() {
 		for n := uint64(3); ; n++ {
@@ -35,7 +35,7 @@
 			case <-stop:
 				return
 			case <-time.After(heartbeat):
-				a.source.Load().Hear(instance("x", n))
+				a.source.Load().RecordHeartbeat(instance("x", n))
 			}
 		}
 	}()
@@ -66,8 +66,8 @@
 	const within = slowdown * 300 * time.Millisecond
 	seed, other := newControl(t), newControl(t)
 	seed.source.Load().PublishControl([]string{seed.address(), other.address()})
-	seed.source.Load().Hear(instance("x", 1))
-	other.source.Load().Hear(instance("y", 1))
+	seed.source.Load().RecordHeartbeat(instance("x", 1))
+	other.source.Load().RecordHeartbeat(instance("y", 1))
 	began := time.Now()
 	f := follow(t, seed)
 	wait(t, "all instances are known", func() bool { return cmp.Equal([]string{"x", "y"}, live(f)) })
--- a/internal/transport/fleet/source.go
+++ b/internal/transport/fleet/source.go
@@ -127,8 +127,8 @@
 	return s
 }
 
-// Hear takes an instance's heartbeat.
-func (s *Source) Hear(in registry.Instance) {
+// RecordHeartbeat takes an instance's heartbeat.
+func (s *Source) RecordHeartbeat(in registry.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.registry.RecordHeartbeat(in, clock.Now()) {
--- a/internal/transport/fleet/start_test.go
+++ b/internal/transport/fleet/start_test.go
@@ -89,7 +89,7 @@
 	part := entries * perEntry / controls
 	for n := range part {
 		<-time.After(beats / time.Duration(part))
-		source.Hear(reporter(n, 1))
+		source.RecordHeartbeat(reporter(n, 1))
 	}
 	// What came last is told with the next news.
 	<-time.After(settling)
@@ -109,7 +109,7 @@
 	life, end := context.WithCancel(t.Context())
 	first := fleet.NewSource(life, heartbeat, quiet)
 	first.Remember(life, path)
-	first.Hear(reporter(1, 5))
+	first.RecordHeartbeat(reporter(1, 5))
 	wait(t, "it is written", func() bool {
 		next := fleet.NewSource(t.Context(), heartbeat, quiet)
 		next.Remember(t.Context(), path)
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next.Hear(reporter(1, 6))
+	next.RecordHeartbeat(reporter(1, 6))
 	after, err := next.Watch(t.Context(), &wire.FleetRequest{Epoch: before.Epoch, Change: before.Change})
 	if err != nil || after.Change != before.Change {
 		t.Errorf("change %d became %d: %v", before.Change, after.Change, err)
--- a/internal/transport/fleet/starts_test.go
+++ b/internal/transport/fleet/starts_test.go
@@ -26,7 +26,7 @@
 	first := registry.Incarnation{ID: "x", Start: 1000}
 	c := newControl(t)
 	f := follow(t, c)
-	c.source.Load().Hear(of(1000))
+	c.source.Load().RecordHeartbeat(of(1000))
 	c.source.Load().PublishBusy([]registry.Incarnation{first})
 	c.source.Load().PublishLoads(map[registry.Incarnation]balance.EngineLoad{first: {Waiting: 3, Used: 160}}, 330*time.Millisecond)
 	wait(t, "the first start is known with all that is told of it", func() bool {
@@ -34,10 +34,10 @@
 		return len(v.Instances["s"]) == 1 && v.Instances["s"][0].Incarnation() == first && v.Busy[first] &&
 			v.Loads[first] == balance.EngineLoad{Waiting: 3, Used: 160} && v.LoadsInterval == 330*time.Millisecond
 	})
-	c.source.Load().Hear(of(2000))
+	c.source.Load().RecordHeartbeat(of(2000))
 	wait(t, "the second start has its place", func() bool { return f.View().Instances["s"][0].Start == 2000 })
 	c.source.Load().StartedAgain(&registry.RestartedError{Expected: first, ActualStart: 2000})
-	c.source.Load().Hear(of(1000))
+	c.source.Load().RecordHeartbeat(of(1000))
 	second := f.View().Instances["s"][0].Incarnation()
 	if diff := cmp.Diff(registry.Incarnation{ID: "x", Start: 2000}, second); diff != "" {
 		t.Error(diff)
@@ -53,7 +53,7 @@
 	in.Start = 2000
 	first := fleet.NewSource(life, heartbeat, quiet)
 	first.Remember(life, path)
-	first.Hear(in)
+	first.RecordHeartbeat(in)
 	wait(t, "it is written", func() bool { _, err := os.Stat(path); return err == nil })
 	end()
 	c := newControl(t)
@@ -62,12 +62,12 @@
 	wait(t, "it is known again", func() bool { return len(f.View().Instances["s"]) == 1 })
 	late := in
 	late.Start, late.Sequence, late.Address = 1000, 900, "elsewhere"
-	c.source.Load().Hear(late)
+	c.source.Load().RecordHeartbeat(late)
 	if diff := cmp.Diff([]registry.Start{2000}, []registry.Start{f.View().Instances["s"][0].Start}); diff != "" {
 		t.Error(diff)
 	}
 	next := in
 	next.Start, next.Sequence = 3000, 1
-	c.source.Load().Hear(next)
+	c.source.Load().RecordHeartbeat(next)
 	wait(t, "the next start has its place", func() bool { return f.View().Instances["s"][0].Start == 3000 })
 }
--- a/internal/transport/fleet/suspended_test.go
+++ b/internal/transport/fleet/suspended_test.go
@@ -65,7 +65,7 @@
 	machine := clocktest.New(t)
 	c := newControl(t)
 	source := c.source.Load()
-	source.Hear(instance("i-1", 1))
+	source.RecordHeartbeat(instance("i-1", 1))
 	_, err := source.Watch(context.Background(), &wire.FleetRequest{Name: "e", Entry: true})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/orders/registered_test.go
+++ b/internal/transport/orders/registered_test.go
@@ -133,7 +133,7 @@
 	for id := range e.versions {
 		in := registry.Instance{ID: id, Service: "s", Address: id, Weights: map[string]uint64{"m": 1}}
 		view.Instances["s"] = append(view.Instances["s"], in)
-		source.Hear(in)
+		source.RecordHeartbeat(in)
 	}
 	return &orders.Controller{
 		Leading: func() (uint64, bool) { return 1, true }, CommitToken: func(context.Context) (uint64, error) { return 1, nil },
