--- a/internal/transport/fleet/source.go
+++ b/internal/transport/fleet/source.go
@@ -138,8 +138,8 @@
 	s.log.Info().Str("event", "instance_reported").Str("instance", in.ID).Int64("start", int64(in.Start)).Str("service", in.Service).Str("address", in.Address).Bool("leaving", in.Leaving).Uint64("sequence", in.Sequence).Msg("")
 }
 
-// Leave takes the end of an incarnation, or without a start that of all before.
-func (s *Source) Leave(in registry.Incarnation) {
+// RecordDeparture takes the end of an incarnation, or without a start that of all before.
+func (s *Source) RecordDeparture(in registry.Incarnation) {
 	s.end(in, "instance_left")
 }
 
