--- a/internal/transport/fleet/source.go
+++ b/internal/transport/fleet/source.go
@@ -143,9 +143,9 @@
 	s.end(in, "instance_left")
 }
 
-// StartedAgain takes the end of an incarnation that showed when the next one of its id answered
+// RecordRestart takes the end of an incarnation that showed when the next one of its id answered
 // in its place. The next one is known once it reports itself.
-func (s *Source) StartedAgain(err *registry.RestartedError) {
+func (s *Source) RecordRestart(err *registry.RestartedError) {
 	if err.Expected.Start != 0 && err.ActualStart > err.Expected.Start {
 		s.end(err.Expected, "instance_started_again")
 	}
--- a/internal/transport/fleet/starts_test.go
+++ b/internal/transport/fleet/starts_test.go
@@ -36,13 +36,13 @@
 	})
 	c.source.Load().RecordHeartbeat(of(2000))
 	wait(t, "the second start has its place", func() bool { return f.View().Instances["s"][0].Start == 2000 })
-	c.source.Load().StartedAgain(&registry.RestartedError{Expected: first, ActualStart: 2000})
+	c.source.Load().RecordRestart(&registry.RestartedError{Expected: first, ActualStart: 2000})
 	c.source.Load().RecordHeartbeat(of(1000))
 	second := f.View().Instances["s"][0].Incarnation()
 	if diff := cmp.Diff(registry.Incarnation{ID: "x", Start: 2000}, second); diff != "" {
 		t.Error(diff)
 	}
-	c.source.Load().StartedAgain(&registry.RestartedError{Expected: second, ActualStart: 3000})
+	c.source.Load().RecordRestart(&registry.RestartedError{Expected: second, ActualStart: 3000})
 	wait(t, "it has ended once another start answered", func() bool { return len(f.View().Instances["s"]) == 0 })
 }
 
--- a/internal/transport/loads/loads.go
+++ b/internal/transport/loads/loads.go
@@ -140,7 +140,7 @@
 	load, err := p.Engines.Usage(ctx, in)
 	var again *registry.RestartedError
 	if errors.As(err, &again) {
-		p.Source.StartedAgain(again)
+		p.Source.RecordRestart(again)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/orders/registered.go
+++ b/internal/transport/orders/registered.go
@@ -226,7 +226,7 @@
 		report, err := e.report(ctx, in)
 		var again *registry.RestartedError
 		if errors.As(err, &again) {
-			e.Source.StartedAgain(again)
+			e.Source.RecordRestart(again)
 		}
 		if err != nil {
 			return out, pending
