--- a/internal/transport/fleet/source.go
+++ b/internal/transport/fleet/source.go
@@ -203,9 +203,9 @@
 	s.wake()
 }
 
-// Loaded takes what an engine itself said of its weights, before its next heartbeat does:
+// RecordWeights takes what an engine itself said of its weights, before its next heartbeat does:
 // until entries know of it, they ask the engine for a version that it no longer has.
-func (s *Source) Loaded(in registry.Instance, model string, version uint64) {
+func (s *Source) RecordWeights(in registry.Instance, model string, version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.registry.RecordQueriedWeights(in, model, version, clock.Now()) {
--- a/internal/transport/orders/registered.go
+++ b/internal/transport/orders/registered.go
@@ -236,7 +236,7 @@
 			e.Log.Info().Str("event", "load_overdue").Str("instance", in.ID).Str("model", model).Uint64("version", wanted).Dur("busy_ms", clock.Since(known.busySince)).Msg("")
 		}
 		e.mu.Unlock()
-		e.Source.Loaded(in, model, report.Weights[model])
+		e.Source.RecordWeights(in, model, report.Weights[model])
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
