--- a/internal/transport/control/view.go
+++ b/internal/transport/control/view.go
@@ -128,7 +128,7 @@
 func (r *Replica) publishInstalled() {
 	if r.Source != nil {
 		r.Source.Publish(r.Ledger.Installed(), r.Ledger.Weights())
-		r.Source.Require(r.Ledger.RequiredWeights())
+		r.Source.RequireWeights(r.Ledger.RequiredWeights())
 		r.Source.PublishEvacuations(r.Ledger.Evacuations().All())
 	}
 }
--- a/internal/transport/fleet/source.go
+++ b/internal/transport/fleet/source.go
@@ -174,9 +174,9 @@
 	s.wake()
 }
 
-// Require sets the version of each model before which no request may begin any more. Entries
+// RequireWeights sets the version of each model before which no request may begin any more. Entries
 // find out by themselves when its time is over, so they are told with the next news.
-func (s *Source) Require(due map[string]uint64) {
+func (s *Source) RequireWeights(due map[string]uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for model, version := range due {
--- a/internal/transport/fleet/weights_test.go
+++ b/internal/transport/fleet/weights_test.go
@@ -50,7 +50,7 @@
 	if anew := namedAt(t, f, 2); anew.Sub(named) < late {
 		t.Errorf("nobody can know any more that it was named %s ago", time.Since(anew))
 	}
-	b.source.Load().Require(map[string]uint64{"m": 2})
+	b.source.Load().RequireWeights(map[string]uint64{"m": 2})
 	wait(t, "the version is due", func() bool { return f.View().Named["m"].Due() == 2 })
 }
 
