--- a/internal/transport/control/view.go
+++ b/internal/transport/control/view.go
@@ -49,7 +49,7 @@
 	v.mu.Unlock()
 	out.Applied = v.feed.Applied(appliedLifetime)
 	if v.source != nil {
-		out.Evacuations, out.Entries = v.source.Standing()
+		out.Evacuations, out.Entries = v.source.EvacuationStatus()
 	}
 	return out
 }
--- a/internal/transport/fleet/evacuation.go
+++ b/internal/transport/fleet/evacuation.go
@@ -67,8 +67,8 @@
 	return out
 }
 
-// Standing returns the evacuations that are applied here, and what entries said of themselves.
-func (s *Source) Standing() ([]*wire.EvacuationState, []*wire.EntryReport) {
+// EvacuationStatus returns the evacuations that are applied here, and what entries said of themselves.
+func (s *Source) EvacuationStatus() ([]*wire.EvacuationState, []*wire.EntryReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.countEntries()
--- a/internal/transport/fleet/evacuation_test.go
+++ b/internal/transport/fleet/evacuation_test.go
@@ -36,7 +36,7 @@
 	a.source.Load().PublishEvacuations(evacuated("d1"))
 	wait(t, "both sources know that the entry has both", func() bool {
 		for _, c := range []*control{a, b} {
-			_, entries := c.source.Load().Standing()
+			_, entries := c.source.Load().EvacuationStatus()
 			if len(entries) != 1 || entries[0].Evacuations != 2 {
 				return false
 			}
