--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -89,7 +89,7 @@
 		return nil, failure{exitFailed, errors.Wrapf(err, "open %s", s.Data)}
 	}
 	source := fleet.NewSource(ctx, s.Heartbeat(), logger)
-	source.Remember(ctx, filepath.Join(s.Data, instancesFile))
+	source.Persist(ctx, filepath.Join(s.Data, instancesFile))
 	addresses := func() []string { return union(file.Current().PeerSeeds(), source.Control()) }
 	client := controlclient.New(addresses)
 	follower := &fleet.Follower{
--- a/internal/transport/fleet/facts_test.go
+++ b/internal/transport/fleet/facts_test.go
@@ -120,7 +120,7 @@
 	path := filepath.Join(t.TempDir(), "instances")
 	life, end := context.WithCancel(t.Context())
 	first := fleet.NewSource(life, heartbeat, quiet)
-	first.Remember(life, path)
+	first.Persist(life, path)
 	now := time.Now()
 	facts := []quarantine.Fact{quarantine.InstanceEnded{Digest: deadlyRequest, Incarnation: registry.Incarnation{ID: "i-1", Start: 1}, Address: "at i-1", Sent: now, At: now}}
 	_, err := first.Tell(t.Context(), &wire.TellRequest{Facts: wire.FromFacts(facts, now)})
@@ -130,7 +130,7 @@
 	wait(t, "it is written", func() bool { _, err := os.Stat(path); return err == nil })
 	end()
 	next := fleet.NewSource(t.Context(), heartbeat, quiet)
-	next.Remember(t.Context(), path)
+	next.Persist(t.Context(), path)
 	out, err := next.Watch(t.Context(), &wire.FleetRequest{})
 	if diff := cmp.Diff(1, len(out.GetFacts())); diff != "" || err != nil {
 		t.Error("facts: ", diff, err)
--- a/internal/transport/fleet/memory.go
+++ b/internal/transport/fleet/memory.go
@@ -21,10 +21,10 @@
 	recalledBeats = 2
 )
 
-// Remember takes up the instances that were written to a file in an earlier life, and keeps
+// Persist takes up the instances that were written to a file in an earlier life, and keeps
 // it up to date until ctx ends. The file is no promise: without it, or with an old one, the
 // instances are known again when they report, a heartbeat later.
-func (s *Source) Remember(ctx context.Context, path string) {
+func (s *Source) Persist(ctx context.Context, path string) {
 	s.recall(path)
 	go func() {
 		ticker := time.NewTicker(rememberInterval)
--- a/internal/transport/fleet/memory_test.go
+++ b/internal/transport/fleet/memory_test.go
@@ -26,13 +26,13 @@
 	}
 	life, end := context.WithCancel(t.Context())
 	first := fleet.NewSource(life, heartbeat, quiet)
-	first.Remember(life, path)
+	first.Persist(life, path)
 	first.RecordHeartbeat(live("x", false))
 	first.RecordHeartbeat(live("y", true))
 	wait(t, "it is written", func() bool { _, err := os.Stat(path); return err == nil })
 	end()
 	next := fleet.NewSource(t.Context(), heartbeat, quiet)
-	next.Remember(t.Context(), path)
+	next.Persist(t.Context(), path)
 	told := func(since *wire.FleetResponse) (*wire.FleetResponse, map[string]string) {
 		out, err := next.Watch(t.Context(), &wire.FleetRequest{Epoch: since.GetEpoch(), Change: since.GetChange(), WaitMilliseconds: 5000})
 		if err != nil {
@@ -56,7 +56,7 @@
 	if took := time.Since(began); took > 4*heartbeat {
 		t.Errorf("gone after %s", took)
 	}
-	next.Remember(t.Context(), filepath.Join(t.TempDir(), "none"))
+	next.Persist(t.Context(), filepath.Join(t.TempDir(), "none"))
 	_ = os.WriteFile(path, []byte("no reports"), 0o600)
-	fleet.NewSource(t.Context(), heartbeat, quiet).Remember(t.Context(), path)
+	fleet.NewSource(t.Context(), heartbeat, quiet).Persist(t.Context(), path)
 }
--- a/internal/transport/fleet/start_test.go
+++ b/internal/transport/fleet/start_test.go
@@ -108,17 +108,17 @@
 	path := filepath.Join(t.TempDir(), "instances")
 	life, end := context.WithCancel(t.Context())
 	first := fleet.NewSource(life, heartbeat, quiet)
-	first.Remember(life, path)
+	first.Persist(life, path)
 	first.RecordHeartbeat(reporter(1, 5))
 	wait(t, "it is written", func() bool {
 		next := fleet.NewSource(t.Context(), heartbeat, quiet)
-		next.Remember(t.Context(), path)
+		next.Persist(t.Context(), path)
 		out, err := next.Watch(t.Context(), &wire.FleetRequest{})
 		return err == nil && len(out.Instances) == 1
 	})
 	end()
 	next := fleet.NewSource(t.Context(), heartbeat, quiet)
-	next.Remember(t.Context(), path)
+	next.Persist(t.Context(), path)
 	before, err := next.Watch(t.Context(), &wire.FleetRequest{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/fleet/starts_test.go
+++ b/internal/transport/fleet/starts_test.go
@@ -52,12 +52,12 @@
 	in := instance("x", 7)
 	in.Start = 2000
 	first := fleet.NewSource(life, heartbeat, quiet)
-	first.Remember(life, path)
+	first.Persist(life, path)
 	first.RecordHeartbeat(in)
 	wait(t, "it is written", func() bool { _, err := os.Stat(path); return err == nil })
 	end()
 	c := newControl(t)
-	c.source.Load().Remember(t.Context(), path)
+	c.source.Load().Persist(t.Context(), path)
 	f := follow(t, c)
 	wait(t, "it is known again", func() bool { return len(f.View().Instances["s"]) == 1 })
 	late := in
