--- a/internal/transport/fleet/view.go
+++ b/internal/transport/fleet/view.go
@@ -68,8 +68,8 @@
 	owners map[string]string
 }
 
-// Lives reports whether an incarnation is among the live instances.
-func (v *View) Lives(in registry.Instance) bool {
+// IsLive reports whether an incarnation is among the live instances.
+func (v *View) IsLive(in registry.Instance) bool {
 	return slices.ContainsFunc(v.Instances[in.Service], func(other registry.Instance) bool { return other.Incarnation() == in.Incarnation() })
 }
 
--- a/internal/transport/serving/ends.go
+++ b/internal/transport/serving/ends.go
@@ -62,7 +62,7 @@
 		switch {
 		case gone:
 			tracker.RecordSuperseded(a)
-		case view.Lives(a.To):
+		case view.IsLive(a.To):
 			tracker.RecordBroken(ctx, a, j.refusalProbe(err))
 		case view.Superseded()(a.To):
 			tracker.RecordSuperseded(a)
