--- a/internal/transport/fleet/named.go
+++ b/internal/transport/fleet/named.go
@@ -9,9 +9,9 @@
 	"github.com/shedrock/shedrock/internal/state/weights"
 )
 
-// OldWeights returns for how long requests may begin on old weights by this view, at a time and
+// OldWeightsGrace returns for how long requests may begin on old weights by this view, at a time and
 // when a bound is declared.
-func (v *View) OldWeights(bound time.Duration, now time.Time) weights.Allowance {
+func (v *View) OldWeightsGrace(bound time.Duration, now time.Time) weights.Allowance {
 	return weights.Allowance{Bound: bound, Since: v.Contact.Lost, Paused: v.Contact.OutOfReach(now)}
 }
 
--- a/internal/transport/orders/requirer.go
+++ b/internal/transport/orders/requirer.go
@@ -60,7 +60,7 @@
 		return
 	}
 	view, now := r.View(), clock.Now()
-	allowance := view.OldWeights(r.OldWeightsGrace, now)
+	allowance := view.OldWeightsGrace(r.OldWeightsGrace, now)
 	for model, h := range view.Named {
 		version := h.Required(now, allowance)
 		if version <= h.Due() {
