--- a/internal/transport/fleet/liveness_test.go
+++ b/internal/transport/fleet/liveness_test.go
@@ -60,7 +60,7 @@
 	publish(controls, 2, []byte("no text"))
 	wait(t, "all have seen version 2", func() bool {
 		for _, f := range followers {
-			if f.View().Newest < 2 {
+			if f.View().NewestConfigVersion < 2 {
 				return false
 			}
 		}
@@ -105,7 +105,7 @@
 	followers := startAll(t, 1, []string{strings.TrimPrefix(server.URL, "http://")}, decodeRoutes)
 	wait(t, "the source is polled", func() bool { return len(followers[0].View().Control) > 0 })
 	source.Publish(ledger.Installed{Version: 1, Text: routesText(1, 20, 1)}, nil)
-	wait(t, "version 1 is told of", func() bool { return followers[0].View().Newest == 1 })
+	wait(t, "version 1 is told of", func() bool { return followers[0].View().NewestConfigVersion == 1 })
 	<-time.After(late / 4)
 	source.Publish(ledger.Installed{Version: 2, Text: routesText(2, 20, 1)}, nil)
 	began := time.Now()
--- a/internal/transport/fleet/view.go
+++ b/internal/transport/fleet/view.go
@@ -22,9 +22,9 @@
 type View struct {
 	// Config is the configuration in force; it is nil until one is known.
 	Config *deployment.Config
-	// Newest is the newest version of the configuration that any source told of. While it is
+	// NewestConfigVersion is the newest version of the configuration that any source told of. While it is
 	// above Config's, this process serves by an older one and fetches the newer.
-	Newest uint64
+	NewestConfigVersion uint64
 	// Instances holds the live instances of each service, in the order of their ids.
 	Instances map[string][]registry.Instance
 	// Weights holds the newest weight version of each model, and Named what is known of when
@@ -133,7 +133,7 @@
 // publish makes the view anew; mu must be held.
 func (f *Follower) publish() {
 	v := &View{
-		Config: f.config, Newest: f.newestVersion(), Instances: f.instances, Entries: 1,
+		Config: f.config, NewestConfigVersion: f.newestVersion(), Instances: f.instances, Entries: 1,
 		Weights: newestOf(f.named), Named: maps.Clone(f.named), Contact: f.contact, Control: slices.Sorted(maps.Keys(f.sources)),
 		Stores: newestStores(f.sources), Busy: map[registry.Incarnation]bool{}, succession: f.succession, Failing: f.failing(clock.Now()),
 		Evacuated: f.evacuations.Evacuated(), Returned: f.evacuations.Ended(), Evacuations: f.evacuations.Revision(),
--- a/internal/transport/serving/metrics.go
+++ b/internal/transport/serving/metrics.go
@@ -66,7 +66,7 @@
 		}
 		return float64(config.Version)
 	}
-	newest := func() float64 { return float64(view().Newest) }
+	newest := func() float64 { return float64(view().NewestConfigVersion) }
 	outOfReach := func() float64 {
 		if view().Contact.OutOfReach(clock.Now()) {
 			return 1
--- a/internal/transport/serving/metrics_test.go
+++ b/internal/transport/serving/metrics_test.go
@@ -28,7 +28,7 @@
 	if diff := cmp.Diff(none, shown()); diff != "" {
 		t.Error(diff)
 	}
-	view = &fleet.View{Config: &deployment.Config{Version: 9}, Newest: 12}
+	view = &fleet.View{Config: &deployment.Config{Version: 9}, NewestConfigVersion: 12}
 	lagging := []string{"shedrock_configuration_newest_version 12", "shedrock_configuration_version 9"}
 	if diff := cmp.Diff(lagging, shown()); diff != "" {
 		t.Error(diff)
