--- a/internal/transport/fleet/view.go
+++ b/internal/transport/fleet/view.go
@@ -29,8 +29,8 @@
 	Instances map[string][]registry.Instance
 	// Weights holds the newest weight version of each model, and Named what is known of when
 	// its versions were named.
-	Weights map[string]uint64
-	Named   map[string]weights.History
+	Weights         map[string]uint64
+	WeightHistories map[string]weights.History
 	// Contact says whether the control log is in reach.
 	Contact Contact
 	// Control holds the addresses of the control instances.
@@ -134,7 +134,7 @@
 func (f *Follower) publish() {
 	v := &View{
 		Config: f.config, NewestConfigVersion: f.newestVersion(), Instances: f.instances, Entries: 1,
-		Weights: newestOf(f.named), Named: maps.Clone(f.named), Contact: f.contact, Control: slices.Sorted(maps.Keys(f.sources)),
+		Weights: newestOf(f.named), WeightHistories: maps.Clone(f.named), Contact: f.contact, Control: slices.Sorted(maps.Keys(f.sources)),
 		Stores: newestStores(f.sources), Busy: map[registry.Incarnation]bool{}, succession: f.succession, Failing: f.failing(clock.Now()),
 		Evacuated: f.evacuations.Evacuated(), Returned: f.evacuations.Ended(), Evacuations: f.evacuations.Revision(),
 	}
--- a/internal/transport/orders/registered.go
+++ b/internal/transport/orders/registered.go
@@ -69,7 +69,7 @@
 	e.mu.Unlock()
 	target := rollout.Target{Version: formatVersion(version), ConcurrentLoads: concurrentLoads(n), MinServing: n / 2}
 	now := clock.Now()
-	if view.Named[model].Required(now, view.OldWeightsGrace(e.OldWeightsGrace, now)) >= version {
+	if view.WeightHistories[model].Required(now, view.OldWeightsGrace(e.OldWeightsGrace, now)) >= version {
 		// Engines with older weights get no requests any more.
 		target.MinServing = 0
 	}
--- a/internal/transport/orders/registered_test.go
+++ b/internal/transport/orders/registered_test.go
@@ -252,7 +252,7 @@
 		View: func() *fleet.View {
 			mu.Lock()
 			defer mu.Unlock()
-			return &fleet.View{Named: map[string]weights.History{"m": history}}
+			return &fleet.View{WeightHistories: map[string]weights.History{"m": history}}
 		},
 		Leading: func() (uint64, bool) { mu.Lock(); defer mu.Unlock(); return 1, leads },
 		CommitRequired: func(_ context.Context, _ string, version uint64) error {
--- a/internal/transport/orders/requirer.go
+++ b/internal/transport/orders/requirer.go
@@ -61,7 +61,7 @@
 	}
 	view, now := r.View(), clock.Now()
 	allowance := view.OldWeightsGrace(r.OldWeightsGrace, now)
-	for model, h := range view.Named {
+	for model, h := range view.WeightHistories {
 		version := h.Required(now, allowance)
 		if version <= h.Due() {
 			continue
--- a/internal/transport/serving/weights.go
+++ b/internal/transport/serving/weights.go
@@ -35,13 +35,13 @@
 
 // requiredWeights returns the oldest weight version of a model on which a request may begin.
 func (s *Server) requiredWeights(view *fleet.View, model string, now time.Time) uint64 {
-	return view.Named[model].Required(now, view.OldWeightsGrace(s.oldWeightsGrace(), now))
+	return view.WeightHistories[model].Required(now, view.OldWeightsGrace(s.oldWeightsGrace(), now))
 }
 
 // weightsExpiry returns the time until which a request may begin on a version of a model. ok is false
 // while none is known.
 func (s *Server) weightsExpiry(view *fleet.View, model string, version uint64, now time.Time) (expiry time.Time, ok bool) {
-	return view.Named[model].Until(version, view.OldWeightsGrace(s.oldWeightsGrace(), now))
+	return view.WeightHistories[model].Until(version, view.OldWeightsGrace(s.oldWeightsGrace(), now))
 }
 
 // usable returns the instances of the service without the engines on whose weights the request may no
@@ -96,7 +96,7 @@
 // rises. mu must be held.
 func (s *Server) reportRequired(now time.Time) {
 	view := s.View()
-	for model, named := range view.Named {
+	for model, named := range view.WeightHistories {
 		required := s.requiredWeights(view, model, now)
 		newest, older := named.Newest(), 0
 		for _, instances := range view.Instances {
--- a/internal/transport/serving/weights_known.go
+++ b/internal/transport/serving/weights_known.go
@@ -31,7 +31,7 @@
 	view := j.server.View()
 	return weightsSnapshot{
 		pinned: pinned, believed: j.instance.Weights[model], source: j.instance.WeightsProvenance,
-		history: view.Named[model], required: j.server.requiredWeights(view, model, now), at: now,
+		history: view.WeightHistories[model], required: j.server.requiredWeights(view, model, now), at: now,
 	}
 }
 
