--- a/internal/transport/fleet/contact.go
+++ b/internal/transport/fleet/contact.go
@@ -9,9 +9,9 @@
 
 // Contact is since when, and whether, a process is in reach of a control log with a leader.
 type Contact struct {
-	// Last is when a control instance that knew a leader last answered; it is zero before the
+	// LastAnswer is when a control instance that knew a leader last answered; it is zero before the
 	// first time.
-	Last time.Time
+	LastAnswer time.Time
 	// Lost is when the control log was last out of reach, zero if it was not in this life: the
 	// last question before it was in reach again was sent then.
 	Lost time.Time
@@ -20,7 +20,7 @@
 // OutOfReach reports whether the control log is out of reach. Who has never reached it knows
 // nothing that it could go on with.
 func (c Contact) OutOfReach(now time.Time) bool {
-	return !c.Last.IsZero() && now.Sub(c.Last) > outOfReachAfter
+	return !c.LastAnswer.IsZero() && now.Sub(c.LastAnswer) > outOfReachAfter
 }
 
 // noteReach logs when the control log falls out of reach and when it is back; mu must be held.
@@ -31,7 +31,7 @@
 	}
 	f.outOfReach = out
 	if out {
-		f.Log.Info().Str("event", "control_out_of_reach").Dur("unheard_ms", now.Sub(f.contact.Last)).Msg("")
+		f.Log.Info().Str("event", "control_out_of_reach").Dur("unheard_ms", now.Sub(f.contact.LastAnswer)).Msg("")
 		return
 	}
 	f.Log.Info().Str("event", "control_in_reach").Dur("lost_ms", now.Sub(f.contact.Lost)).Msg("")
@@ -43,6 +43,6 @@
 	if c.OutOfReach(now) {
 		c.Lost = asked
 	}
-	c.Last = now
+	c.LastAnswer = now
 	return c
 }
--- a/internal/transport/fleet/weights_test.go
+++ b/internal/transport/fleet/weights_test.go
@@ -70,7 +70,7 @@
 	c.restart()
 	f := follow(t, c)
 	out := func() bool { return f.View().Contact.OutOfReach(time.Now()) }
-	wait(t, "it is in reach", func() bool { return !f.View().Contact.Last.IsZero() })
+	wait(t, "it is in reach", func() bool { return !f.View().Contact.LastAnswer.IsZero() })
 	if diff := cmp.Diff(true, f.View().Contact.Lost.IsZero()); diff != "" || out() {
 		t.Error("it was out of reach before: ", diff)
 	}
