--- a/internal/transport/fleet/contact.go
+++ b/internal/transport/fleet/contact.go
@@ -12,9 +12,9 @@
 	// LastAnswer is when a control instance that knew a leader last answered; it is zero before the
 	// first time.
 	LastAnswer time.Time
-	// Lost is when the control log was last out of reach, zero if it was not in this life: the
+	// LastUnreachable is when the control log was last out of reach, zero if it was not in this life: the
 	// last question before it was in reach again was sent then.
-	Lost time.Time
+	LastUnreachable time.Time
 }
 
 // OutOfReach reports whether the control log is out of reach. Who has never reached it knows
@@ -34,14 +34,14 @@
 		f.Log.Info().Str("event", "control_out_of_reach").Dur("unheard_ms", now.Sub(f.contact.LastAnswer)).Msg("")
 		return
 	}
-	f.Log.Info().Str("event", "control_in_reach").Dur("lost_ms", now.Sub(f.contact.Lost)).Msg("")
+	f.Log.Info().Str("event", "control_in_reach").Dur("lost_ms", now.Sub(f.contact.LastUnreachable)).Msg("")
 }
 
 // reach returns the contact once a control instance that knows a leader has answered; asked is
 // when it was last asked in vain.
 func (c Contact) reach(asked, now time.Time) Contact {
 	if c.OutOfReach(now) {
-		c.Lost = asked
+		c.LastUnreachable = asked
 	}
 	c.LastAnswer = now
 	return c
--- a/internal/transport/fleet/weights_test.go
+++ b/internal/transport/fleet/weights_test.go
@@ -71,7 +71,7 @@
 	f := follow(t, c)
 	out := func() bool { return f.View().Contact.OutOfReach(time.Now()) }
 	wait(t, "it is in reach", func() bool { return !f.View().Contact.LastAnswer.IsZero() })
-	if diff := cmp.Diff(true, f.View().Contact.Lost.IsZero()); diff != "" || out() {
+	if diff := cmp.Diff(true, f.View().Contact.LastUnreachable.IsZero()); diff != "" || out() {
 		t.Error("it was out of reach before: ", diff)
 	}
 	for name, lose := range map[string]*atomic.Bool{"without a leader": &leaderless, "silent": &mute} {
@@ -81,7 +81,7 @@
 		back := time.Now()
 		lose.Store(false)
 		wait(t, "it is in reach again", func() bool { return !out() })
-		lost := f.View().Contact.Lost
+		lost := f.View().Contact.LastUnreachable
 		if lost.Before(began) || lost.After(back.Add(time.Second)) {
 			t.Errorf("%s: it was last out of reach %s after it began, for %s", name, lost.Sub(began), back.Sub(began))
 		}
