--- a/internal/transport/fleet/contact.go
+++ b/internal/transport/fleet/contact.go
@@ -17,15 +17,15 @@
 	LastUnreachable time.Time
 }
 
-// OutOfReach reports whether the control log is out of reach. Who has never reached it knows
+// Unreachable reports whether the control log is out of reach. Who has never reached it knows
 // nothing that it could go on with.
-func (c Contact) OutOfReach(now time.Time) bool {
+func (c Contact) Unreachable(now time.Time) bool {
 	return !c.LastAnswer.IsZero() && now.Sub(c.LastAnswer) > outOfReachAfter
 }
 
 // noteReach logs when the control log falls out of reach and when it is back; mu must be held.
 func (f *Follower) noteReach(now time.Time) {
-	out := f.contact.OutOfReach(now)
+	out := f.contact.Unreachable(now)
 	if out == f.outOfReach {
 		return
 	}
@@ -40,7 +40,7 @@
 // reach returns the contact once a control instance that knows a leader has answered; asked is
 // when it was last asked in vain.
 func (c Contact) reach(asked, now time.Time) Contact {
-	if c.OutOfReach(now) {
+	if c.Unreachable(now) {
 		c.LastUnreachable = asked
 	}
 	c.LastAnswer = now
--- a/internal/transport/fleet/named.go
+++ b/internal/transport/fleet/named.go
@@ -12,7 +12,7 @@
 // OldWeightsGrace returns for how long requests may begin on old weights by this view, at a time and
 // when a bound is declared.
 func (v *View) OldWeightsGrace(bound time.Duration, now time.Time) weights.Allowance {
-	return weights.Allowance{Bound: bound, Since: v.Contact.LastUnreachable, Paused: v.Contact.OutOfReach(now)}
+	return weights.Allowance{Bound: bound, Since: v.Contact.LastUnreachable, Paused: v.Contact.Unreachable(now)}
 }
 
 // newestOf returns the newest version of each model.
--- a/internal/transport/fleet/weights_test.go
+++ b/internal/transport/fleet/weights_test.go
@@ -69,7 +69,7 @@
 	c := &control{t: t, server: server}
 	c.restart()
 	f := follow(t, c)
-	out := func() bool { return f.View().Contact.OutOfReach(time.Now()) }
+	out := func() bool { return f.View().Contact.Unreachable(time.Now()) }
 	wait(t, "it is in reach", func() bool { return !f.View().Contact.LastAnswer.IsZero() })
 	if diff := cmp.Diff(true, f.View().Contact.LastUnreachable.IsZero()); diff != "" || out() {
 		t.Error("it was out of reach before: ", diff)
--- a/internal/transport/serving/metrics.go
+++ b/internal/transport/serving/metrics.go
@@ -68,7 +68,7 @@
 	}
 	newest := func() float64 { return float64(view().NewestConfigVersion) }
 	outOfReach := func() float64 {
-		if view().Contact.OutOfReach(clock.Now()) {
+		if view().Contact.Unreachable(clock.Now()) {
 			return 1
 		}
 		return 0
