--- a/internal/transport/fleet/failures.go
+++ b/internal/transport/fleet/failures.go
@@ -41,7 +41,7 @@
 func (f *Follower) tellFailures(ctx context.Context) {
 	for {
 		select {
-		case <-f.Failed:
+		case <-f.FailuresPending:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/transport/fleet/follower.go
+++ b/internal/transport/fleet/follower.go
@@ -49,10 +49,10 @@
 	Heartbeat time.Duration
 	// Ends, when set, holds what this entry knows of ends of instances, and learns what others do.
 	Ends *ends.Tracker
-	// Failed, when set, is signalled when requests have failed at instances that answered, and
+	// FailuresPending, when set, is signalled when requests have failed at instances that answered, and
 	// Failures returns what was seen since the last call.
-	Failed   <-chan struct{}
-	Failures func() []suspects.Failures
+	FailuresPending <-chan struct{}
+	Failures        func() []suspects.Failures
 	// Log receives one line for each event.
 	Log *log.Logger
 
@@ -131,7 +131,7 @@
 	if f.Ends != nil {
 		go f.tellFacts(ctx)
 	}
-	if f.Failed != nil {
+	if f.FailuresPending != nil {
 		go f.tellFailures(ctx)
 	}
 	ticker := time.NewTicker(viewInterval)
--- a/internal/transport/fleet/tell_test.go
+++ b/internal/transport/fleet/tell_test.go
@@ -61,7 +61,7 @@
 	tracker := &ends.Tracker{Entries: func() int { return 1 }, Metrics: ends.NewMetrics(), Log: quiet}
 	failed := make(chan struct{}, 1)
 	f := &fleet.Follower{
-		Name: "e", Entry: true, Heartbeat: heartbeat, Ends: tracker, Log: quiet, Failed: failed,
+		Name: "e", Entry: true, Heartbeat: heartbeat, Ends: tracker, Log: quiet, FailuresPending: failed,
 		Failures: func() []suspects.Failures {
 			return []suspects.Failures{{Target: registry.Incarnation{ID: "x"}, Service: "s", Count: 1, Teams: 1, Expected: 1, Instances: 1, AllTeams: 1}}
 		},
