--- a/internal/cli/platform_entry.go
+++ b/internal/cli/platform_entry.go
@@ -84,7 +84,7 @@
 		OldWeightsGrace: s.OldWeights(), Cold: serving.ColdAllowance{Overage: s.ColdOverage, Slack: s.ColdSlack},
 		Allowance: retry.Allowance{Ratio: s.RetryRatio, Window: s.RetryWindow(), Slack: s.RetrySlack},
 	}
-	follower.FailuresPending, follower.Failures = server.FailuresPending(), server.TakeFailures
+	follower.FailuresPending, follower.TakeFailures = server.FailuresPending(), server.TakeFailures
 	server.Metrics.RegisterView(follower.View)
 	server.Metrics.Register(tracker.Collectors())
 	return &platformEntry{
--- a/internal/transport/fleet/failures.go
+++ b/internal/transport/fleet/failures.go
@@ -50,7 +50,7 @@
 		case <-ctx.Done():
 			return
 		}
-		in := &wire.TellRequest{Failures: fromFailures(f.Failures())}
+		in := &wire.TellRequest{Failures: fromFailures(f.TakeFailures())}
 		if len(in.Failures) == 0 {
 			continue
 		}
--- a/internal/transport/fleet/follower.go
+++ b/internal/transport/fleet/follower.go
@@ -52,7 +52,7 @@
 	// FailuresPending, when set, is signalled when requests have failed at instances that answered, and
 	// Failures returns what was seen since the last call.
 	FailuresPending <-chan struct{}
-	Failures        func() []suspects.Failures
+	TakeFailures    func() []suspects.Failures
 	// Log receives one line for each event.
 	Log *log.Logger
 
--- a/internal/transport/fleet/tell_test.go
+++ b/internal/transport/fleet/tell_test.go
@@ -62,7 +62,7 @@
 	failed := make(chan struct{}, 1)
 	f := &fleet.Follower{
 		Name: "e", Entry: true, Heartbeat: heartbeat, Ends: tracker, Log: quiet, FailuresPending: failed,
-		Failures: func() []suspects.Failures {
+		TakeFailures: func() []suspects.Failures {
 			return []suspects.Failures{{Target: registry.Incarnation{ID: "x"}, Service: "s", Count: 1, Teams: 1, Expected: 1, Instances: 1, AllTeams: 1}}
 		},
 		Seeds: func() []string { return []string{s.address} }, Decode: decodeRoutes,
