--- a/internal/state/registry/belief.go
+++ b/internal/state/registry/belief.go
@@ -2,81 +2,85 @@
 
 import "time"
 
-// lateFor is how late a heartbeat may come: after an engine was asked for its weights, an older
-// version in a heartbeat counts only once that long has passed, as it may have been sent before.
-const lateFor = 5 * time.Second
+// maxHeartbeatDelay is how long a heartbeat may be in transit. For that long after an engine answered a
+// query for its weights, an older version in a heartbeat is not accepted, as the heartbeat may have
+// been sent before the answer.
+const maxHeartbeatDelay = 5 * time.Second
 
-// Provenance is how what an instance said of itself is known.
+// Provenance is when and how a statement of an instance about itself was obtained.
 type Provenance struct {
-	// At is when it was first said, as far as it was not said differently since.
+	// At is when the statement was first received, if no different one was received since.
 	At time.Time
-	// Queried says that a control instance asked for it; else a heartbeat told it.
+	// Queried is true if the instance answered a query of a control instance, and false if it sent a
+	// heartbeat.
 	Queried bool
-	// Via is the address of the control instance that passed it on, or empty where it was heard.
+	// Via is the address of the control instance that relayed the statement; it is empty on the
+	// control instance that received it.
 	Via string
 }
 
-// claim is one word about the version of one model's weights.
+// claim is one statement about the version of one model's weights.
 type claim struct {
-	version uint64
-	word    Provenance
-	// sequence is that of the newest heartbeat that was known with the word.
+	version    uint64
+	provenance Provenance
+	// sequence is the sequence number of the newest heartbeat known when the claim was made.
 	sequence uint64
 }
 
-// after reports whether a claim was made after another one: heartbeats are in the order of
-// their sequence, and answers in that of time.
+// after reports whether c was made after other. Heartbeats are ordered by their sequence numbers; if
+// either is an answer to a query, the time of receipt decides.
 func (c claim) after(other claim) bool {
-	if !c.word.Queried && !other.word.Queried {
+	if !c.provenance.Queried && !other.provenance.Queried {
 		return c.sequence > other.sequence
 	}
-	return c.word.At.After(other.word.At)
+	return c.provenance.At.After(other.provenance.At)
 }
 
-// refutes reports whether a claim of an older version, made after one of a newer, ends the
-// belief in that.
-func (c claim) refutes(newer claim, now time.Time) bool {
+// supersedes reports whether c, which claims an older version than newer does, replaces it: c must have
+// been made later, and must not be a heartbeat that may have been sent before the answer to newer's query.
+func (c claim) supersedes(newer claim, now time.Time) bool {
 	if !c.after(newer) {
 		return false
 	}
-	return c.word.Queried || !newer.word.Queried || now.Sub(newer.word.At) > lateFor
+	return c.provenance.Queried || !newer.provenance.Queried || now.Sub(newer.provenance.At) > maxHeartbeatDelay
 }
 
-// belief is what is believed of the weights of one model at one instance, as several sources
-// told it. Versions rise, but for an engine that was seen to have older weights again: an
-// order that is carried out late may do that.
-type belief struct {
-	held claim
-	// doubt is a later claim of an older version, which may yet be a late heartbeat; it is nil
-	// when there is none.
-	doubt *claim
+// versionEstimate is the weights version that one instance is assumed to have of one model, given the
+// claims from several sources. The version rises, except when an engine is observed to have
+// older weights again, as after a load order that is carried out late.
+type versionEstimate struct {
+	current claim
+	// downgrade is a later claim of an older version that may still turn out to be a delayed
+	// heartbeat; it is nil when there is none.
+	downgrade *claim
 }
 
-// take joins a claim.
-func (b *belief) take(c claim) {
+// add merges a claim.
+func (b *versionEstimate) add(c claim) {
 	switch {
-	case c.version == b.held.version:
-		if c.after(b.held) {
-			b.held = c
+	case c.version == b.current.version:
+		if c.after(b.current) {
+			b.current = c
 		}
-	case c.version > b.held.version:
-		if b.held.after(c) && (b.doubt == nil || b.held.after(*b.doubt)) {
-			older := b.held
-			b.doubt = &older
+	case c.version > b.current.version:
+		if b.current.after(c) && (b.downgrade == nil || b.current.after(*b.downgrade)) {
+			older := b.current
+			b.downgrade = &older
 		}
-		b.held = c
-	case b.doubt == nil || c.after(*b.doubt):
-		b.doubt = &c
+		b.current = c
+	case b.downgrade == nil || c.after(*b.downgrade):
+		b.downgrade = &c
 	}
-	if b.doubt != nil && !b.doubt.after(b.held) {
-		b.doubt = nil
+	if b.downgrade != nil && !b.downgrade.after(b.current) {
+		b.downgrade = nil
 	}
 }
 
-// at returns what is believed at a time.
-func (b *belief) at(now time.Time) claim {
-	if b.doubt != nil && b.doubt.refutes(b.held, now) {
-		b.held, b.doubt = *b.doubt, nil
+// resolve returns the claim that holds at now, and accepts a downgrade that can no longer be a delayed
+// heartbeat.
+func (b *versionEstimate) resolve(now time.Time) claim {
+	if b.downgrade != nil && b.downgrade.supersedes(b.current, now) {
+		b.current, b.downgrade = *b.downgrade, nil
 	}
-	return b.held
+	return b.current
 }
--- a/internal/state/registry/incarnation.go
+++ b/internal/state/registry/incarnation.go
@@ -1,33 +1,33 @@
 package registry
 
-// Start is when an instance started, in Unix milliseconds by the clock of its own host; 0 where
-// it does not tell.
+// Start is when an instance started, in Unix milliseconds by the clock of its own host; 0 if
+// the instance does not report it.
 //
-// Only starts of one id are compared, and starts at one address: a host's clock orders its own
-// starts as long as it does not go back by more than the instance was down. If it does, the
-// later start is taken for the earlier one until the instance was not heard of for a minute
-// (leftFor); nothing is sent to it until then. Our own clocks are never compared with a start.
+// Only starts of the same id or at the same address are compared: a host's clock orders its own
+// starts unless it is set back by more than the instance's downtime. If it is, the
+// later start is taken for the earlier one until nothing has been heard of the earlier one for a minute
+// (endedRetention); no requests are sent to the instance until then. A start is never compared with the
+// clock of this process.
 type Start int64
 
-// Incarnation is one life of an instance. Whatever is counted, believed or promised of an
-// instance belongs to an incarnation and ends with it.
+// Incarnation identifies one run of an instance, from its start to its end. All counters, state and
+// reservations that concern an instance belong to one incarnation and end with it.
 type Incarnation struct {
 	ID    string
 	Start Start
 }
 
-// Incarnation returns whose report this is.
+// Incarnation returns the incarnation that in describes.
 func (in Instance) Incarnation() Incarnation { return Incarnation{in.ID, in.Start} }
 
-// RestartedError says that an answer came from another start of an instance than the one that
-// was asked.
+// RestartedError is returned when another incarnation of an instance answered than the one that
+// was queried.
 type RestartedError struct {
-	// Expected is the incarnation that was asked, and Answered the start that answered.
+	// Expected is the incarnation that was queried, and ActualStart the start of the one that answered.
 	Expected    Incarnation
 	ActualStart Start
 }
 
-// Error names the instance.
 func (e *RestartedError) Error() string {
 	return "instance " + e.Expected.ID + " started again since"
 }
--- a/internal/state/registry/registry.go
+++ b/internal/state/registry/registry.go
@@ -1,10 +1,10 @@
 // Package registry holds the instances that registered by heartbeat.
 //
-// It is soft state: what a control instance wrote down of it only bridges a restart, until
-// the instances report again (Restore). Each control instance keeps a Registry of what it heard
-// itself; whoever uses instances joins the reports of all control instances in a Merged. The
-// latest start of an instance decides which report holds, and of that start the newest sequence
-// number, so calls that arrive late or elsewhere change nothing.
+// It is soft state: the copy that a control instance persists only bridges a restart, until
+// the instances report again (Restore). Each control instance keeps a Registry of the heartbeats that it
+// received itself; a process that uses instances merges the reports of all control instances in a Merged.
+// The report with the latest start of an instance holds, and among those of one start the one with the
+// highest sequence number, so calls that arrive late or at another control instance change nothing.
 package registry
 
 import (
@@ -15,55 +15,55 @@
 	"github.com/shedrock/shedrock/internal/state/changes"
 )
 
-// leftFor is how long an incarnation that left is remembered, so that a late heartbeat
-// does not bring it back: heartbeats come at most some seconds late.
-const leftFor = time.Minute
+// endedRetention is how long an incarnation that left or is silent is retained, so that a late heartbeat
+// does not bring it back. Heartbeats are delayed by at most some seconds.
+const endedRetention = time.Minute
 
-// coldStep is by how much the end of being cold must move to be told: heartbeats tell what remains,
-// and are under way for some time.
-const coldStep = 500 * time.Millisecond
+// coldUntilTolerance is by how much ColdUntil must move to count as a change. Heartbeats carry
+// the remaining time, so the computed end varies with their transit time.
+const coldUntilTolerance = 500 * time.Millisecond
 
-// Instance is what one incarnation said of itself.
+// Instance is the state that one incarnation reported of itself.
 type Instance struct {
-	// ID names the instance, which may start again under it, and Start is that of the
+	// ID identifies the instance and stays the same when it restarts; Start identifies the
 	// incarnation.
 	ID                              string
 	Start                           Start
 	Service, Address, FailureDomain string
 	Slots                           int
-	// ColdUntil is until when it is cold by its own word, and bears less than otherwise; it is
-	// zero, or in the past, for one that is not.
+	// ColdUntil is until when the instance reports itself as cold, which means that it can carry less
+	// load than usual. It is zero or in the past for an instance that is not cold.
 	ColdUntil time.Time
-	// Leaving is true once it said that it will end.
+	// Leaving is true once the instance has announced that it will shut down.
 	Leaving bool
 	// Sequence rises with each heartbeat.
 	Sequence uint64
-	// Weights holds the weight version of each model that it serves, and WeightsProvenance is how they are
-	// known.
+	// Weights holds the weights version of each model that it serves, and WeightsProvenance is how the
+	// newest of them became known.
 	Weights           map[string]uint64
 	WeightsProvenance Provenance
 }
 
-// Report is an instance as one control instance knows it.
+// Report is the state of an instance as one control instance knows it.
 type Report struct {
 	Instance
-	// Silent is true after several missing heartbeats, and Left once it signed off. One that
-	// left without a start is the end of every incarnation of the id that was heard of before.
+	// Silent is true after several missing heartbeats, and Left once the instance signed off. A report
+	// of one that left without a start ends every incarnation of the id that was seen before.
 	Silent, Left bool
-	// FirstSeen is when the registry first heard of it; zero stands for now.
+	// FirstSeen is when the registry first heard of the incarnation; zero stands for now.
 	FirstSeen time.Time
 	// Change numbers the reports of one registry in the order of their changes.
 	Change uint64
 }
 
 type record struct {
-	report Report
-	heard  time.Time
+	report   Report
+	lastSeen time.Time
 }
 
-// Registry is what one control instance heard. It is not safe for concurrent use.
+// Registry holds the instances that reported to one control instance. It is not safe for concurrent use.
 type Registry struct {
-	// SilentAfter is how long an instance may be unheard before it is reported silent.
+	// SilentAfter is the time without a heartbeat after which an instance is reported as silent.
 	SilentAfter time.Duration
 
 	records map[string]*record
@@ -74,12 +74,12 @@
 // Change returns the number of the newest change.
 func (r *Registry) Change() uint64 { return r.log.Last() }
 
-// RecordHeartbeat takes a heartbeat; it reports whether anything changed that others must know.
+// RecordHeartbeat records a heartbeat; it reports whether anything changed that must be sent to others.
 func (r *Registry) RecordHeartbeat(in Instance, now time.Time) bool {
 	known, ok := r.records[in.ID]
 	in.WeightsProvenance = Provenance{At: now}
-	if !ok || known.endsWith(in.Start) {
-		r.put(&record{report: Report{Instance: in, FirstSeen: now}, heard: now})
+	if !ok || known.supersededBy(in.Start) {
+		r.put(&record{report: Report{Instance: in, FirstSeen: now}, lastSeen: now})
 		return true
 	}
 	if in.Start < known.report.Start {
@@ -88,12 +88,12 @@
 	if known.report.Left && in.Start != known.report.Start {
 		return false
 	}
-	known.heard = now
+	known.lastSeen = now
 	if known.report.Left || in.Sequence < known.report.Sequence {
 		return false
 	}
-	changed := known.report.Silent || !same(known.report.Instance, in)
-	in.Weights = known.report.weightsAfter(in, now)
+	changed := known.report.Silent || !sameStatus(known.report.Instance, in)
+	in.Weights = known.report.mergeWeights(in, now)
 	if maps.Equal(in.Weights, known.report.Weights) {
 		in.WeightsProvenance = known.report.WeightsProvenance
 	}
@@ -101,22 +101,23 @@
 	known.report.Instance = in
 	known.report.Silent = false
 	if changed {
-		r.note(known)
+		r.recordChange(known)
 	}
 	return changed
 }
 
-// endsWith reports whether an incarnation that begins at a start ends the one that is known. An
-// instance that left without a word of its start stays away: its heartbeats may still come.
-func (k *record) endsWith(start Start) bool {
+// supersededBy reports whether an incarnation with the given start replaces the recorded one. An
+// instance that left without reporting a start is not replaced, as its heartbeats may still arrive.
+func (k *record) supersededBy(start Start) bool {
 	return start > k.report.Start && !(k.report.Left && k.report.Start == 0)
 }
 
-// RecordQueriedWeights takes what an instance answered when it was asked for its weights; in is what was
-// believed of it then. It reports whether others must know.
+// RecordQueriedWeights records the version that an instance returned when it was queried for its weights;
+// in is its known state at the time of the query. It reports whether anything changed that must be sent
+// to others.
 func (r *Registry) RecordQueriedWeights(in Instance, model string, version uint64, now time.Time) bool {
 	known, ok := r.records[in.ID]
-	if !ok || known.endsWith(in.Start) {
+	if !ok || known.supersededBy(in.Start) {
 		r.RecordHeartbeat(in, now)
 		known = r.records[in.ID]
 	}
@@ -124,75 +125,75 @@
 		return false
 	}
 	same := known.report.Weights[model] == version && in.Weights[model] == version
-	// The answer may be older than a heartbeat that came just before it.
-	early := version < known.report.Weights[model] && now.Sub(known.report.WeightsProvenance.At) <= lateFor
-	if same || early {
+	// The answer may be older than a heartbeat that arrived just before it.
+	mayBeOutdated := version < known.report.Weights[model] && now.Sub(known.report.WeightsProvenance.At) <= maxHeartbeatDelay
+	if same || mayBeOutdated {
 		return false
 	}
 	known.report.Weights = maps.Clone(known.report.Weights)
 	known.report.Weights[model] = version
 	known.report.WeightsProvenance = Provenance{At: now, Queried: true}
-	r.note(known)
+	r.recordChange(known)
 	return true
 }
 
-// weightsAfter returns the weights that are believed once a heartbeat has come: one that was sent
-// before a load ended takes nothing back.
-func (in Instance) weightsAfter(beat Instance, now time.Time) map[string]uint64 {
+// mergeWeights returns the assumed weights after a heartbeat: one that was sent
+// before a load ended does not undo the load.
+func (in Instance) mergeWeights(heartbeat Instance, now time.Time) map[string]uint64 {
 	out := maps.Clone(in.Weights)
 	if out == nil {
 		out = map[string]uint64{}
 	}
-	for model := range beat.Weights {
-		told := beat.claim(model)
-		if told.version > out[model] || told.refutes(in.claim(model), now) {
-			out[model] = told.version
+	for model := range heartbeat.Weights {
+		reported := heartbeat.claim(model)
+		if reported.version > out[model] || reported.supersedes(in.claim(model), now) {
+			out[model] = reported.version
 		}
 	}
 	return out
 }
 
-// claim returns what is said of one model.
+// claim returns what in claims about the weights of one model.
 func (in Instance) claim(model string) claim {
-	return claim{version: in.Weights[model], word: in.WeightsProvenance, sequence: in.Sequence}
+	return claim{version: in.Weights[model], provenance: in.WeightsProvenance, sequence: in.Sequence}
 }
 
-// Restore takes a report of an earlier life of this registry. Until the instance reports
-// itself it counts for a while only, and one that was silent then does not count at all; nor
-// does one that has reported itself since.
-func (r *Registry) Restore(report Report, now time.Time, counts time.Duration) {
+// Restore adds a report that an earlier run of this control instance persisted. It expires after validFor
+// unless the instance reports itself. The report is ignored if the instance was silent then, or if
+// it has reported itself since.
+func (r *Registry) Restore(report Report, now time.Time, validFor time.Duration) {
 	known, ok := r.records[report.ID]
-	if report.Silent || ok && !known.endsWith(report.Start) {
+	if report.Silent || ok && !known.supersededBy(report.Start) {
 		return
 	}
-	// What it says of its weights now goes before what it said then.
+	// A claim about the weights that is made from now on takes precedence over the restored one.
 	report.WeightsProvenance = Provenance{}
-	r.put(&record{report: report, heard: now.Add(counts - r.SilentAfter)})
+	r.put(&record{report: report, lastSeen: now.Add(validFor - r.SilentAfter)})
 }
 
-// Leave takes the end of an incarnation, or without a start that of all before.
+// Leave records the end of an incarnation, or of all earlier ones if the start is not given.
 func (r *Registry) Leave(in Incarnation, now time.Time) {
 	known, ok := r.records[in.ID]
-	if !ok || known.endsWith(in.Start) {
-		r.put(&record{report: Report{Instance: Instance{ID: in.ID, Start: in.Start}, FirstSeen: now, Left: true}, heard: now})
+	if !ok || known.supersededBy(in.Start) {
+		r.put(&record{report: Report{Instance: Instance{ID: in.ID, Start: in.Start}, FirstSeen: now, Left: true}, lastSeen: now})
 		return
 	}
 	if in.Start != 0 && in.Start < known.report.Start {
 		return
 	}
-	known.heard = now
+	known.lastSeen = now
 	if known.report.Left {
 		return
 	}
 	known.report.Left = true
-	r.note(known)
+	r.recordChange(known)
 }
 
-// DiscountPause notes that this process did nothing for a while before now: that nobody was heard then says
-// nothing of them.
+// DiscountPause notes that this process was suspended for the time missed before now, so that this time does
+// not count as silence of the instances.
 func (r *Registry) DiscountPause(missed time.Duration, now time.Time) {
 	for _, k := range r.records {
-		k.heard = earlier(k.heard.Add(missed), now)
+		k.lastSeen = earlier(k.lastSeen.Add(missed), now)
 	}
 }
 
@@ -203,27 +204,27 @@
 	return b
 }
 
-// Sweep marks the instances that fell silent, and forgets those that left long ago; it
-// returns those that newly fell silent.
+// Sweep marks instances without a heartbeat for SilentAfter as silent, and removes ended ones after
+// endedRetention. It returns those that it marked.
 func (r *Registry) Sweep(now time.Time) []Instance {
 	var silent []Instance
 	for id, k := range r.records {
-		unheard := now.Sub(k.heard)
+		silence := now.Sub(k.lastSeen)
 		gone := k.report.Left || k.report.Silent
-		if gone && unheard > leftFor {
+		if gone && silence > endedRetention {
 			delete(r.records, id)
 			continue
 		}
-		if !gone && unheard > r.SilentAfter {
+		if !gone && silence > r.SilentAfter {
 			k.report.Silent = true
-			r.note(k)
+			r.recordChange(k)
 			silent = append(silent, k.report.Instance)
 		}
 	}
 	return silent
 }
 
-// Since returns the reports that changed after a change, in the order of their changes.
+// Since returns the reports that changed after the given change, in the order of their changes.
 func (r *Registry) Since(change uint64) []Report {
 	var out []Report
 	for _, report := range r.After(change) {
@@ -232,12 +233,12 @@
 	return out
 }
 
-// After lists the reports that changed after a change by their changes, the oldest first.
+// After iterates over the reports that changed after the given change, the oldest change first.
 func (r *Registry) After(change uint64) iter.Seq2[uint64, Report] {
 	return r.reports(r.log.After(change))
 }
 
-// UpTo lists the reports that did not change after a change, the newest first.
+// UpTo iterates over the reports that did not change after the given change, the newest change first.
 func (r *Registry) UpTo(change uint64) iter.Seq2[uint64, Report] {
 	return r.reports(r.log.UpTo(change))
 }
@@ -252,7 +253,7 @@
 	}
 }
 
-// put takes a record that is new, or replaces one.
+// put adds a record, or replaces the one with the same id.
 func (r *Registry) put(k *record) {
 	if r.records == nil {
 		r.records = map[string]*record{}
@@ -264,13 +265,13 @@
 		}
 	}
 	r.records[k.report.ID] = k
-	r.note(k)
+	r.recordChange(k)
 }
 
-// note numbers a change of a record.
-func (r *Registry) note(k *record) { k.report.Change = r.log.Add(k.report.ID) }
+// recordChange assigns the next change number to a record.
+func (r *Registry) recordChange(k *record) { k.report.Change = r.log.Add(k.report.ID) }
 
-func same(a, b Instance) bool {
+func sameStatus(a, b Instance) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.FailureDomain == b.FailureDomain &&
-		a.Slots == b.Slots && a.Leaving == b.Leaving && b.ColdUntil.Sub(a.ColdUntil).Abs() < coldStep
+		a.Slots == b.Slots && a.Leaving == b.Leaving && b.ColdUntil.Sub(a.ColdUntil).Abs() < coldUntilTolerance
 }
--- a/internal/state/registry/world_test.go
+++ b/internal/state/registry/world_test.go
@@ -9,51 +9,52 @@
 )
 
 const (
-	// worldStep is a tick of the model's time, and worldSteps how long a run of it takes.
-	worldStep  = 100 * time.Millisecond
-	worldSteps = 600
-	// mostLate is how late a heartbeat may come, as after a cut.
-	mostLate = 8 * time.Second
-	// worldInstances start again under worldIDs ids, each at an address of its own or at that of
-	// another one that has ended.
-	worldIDs       = 3
-	worldAddresses = 4
-	worldSources   = 3
+	// simulationStep is one tick of simulated time, and simulationSteps the number of ticks of a run.
+	simulationStep  = 100 * time.Millisecond
+	simulationSteps = 600
+	// maxCallDelay is the longest delay of a heartbeat, as after a network partition.
+	maxCallDelay = 8 * time.Second
+	// Instances restart under simulationIDs ids, each at an unused address or at that of
+	// an instance that has ended.
+	simulationIDs       = 3
+	simulationAddresses = 4
+	simulationSources   = 3
 )
 
-// process is one start of an instance in the model.
+// process is one run of an instance in the simulation.
 type process struct {
-	in      registry.Instance
-	beatsAt time.Time
-	ended   time.Time
+	in            registry.Instance
+	nextHeartbeat time.Time
+	ended         time.Time
 }
 
-// letter is a call on its way to a control instance.
-type letter struct {
+// call is a heartbeat or a sign-off in transit to a control instance.
+type call struct {
 	at     time.Time
 	to     int
 	in     registry.Instance
 	leaves bool
 }
 
-// reading is how what an instance says of its start is understood; the identity is the right one.
-type reading func(w *world, in registry.Instance) registry.Instance
-
-// world is a model of instances that crash, leave and start again under their ids and at
-// addresses of others, of calls that come late and in any order, of control instances that
-// restart, and of an entry that joins what they tell.
-type world struct {
-	random    *rand.Rand
-	now       time.Time
-	reading   reading
-	processes map[string]*process
+// startMapping maps the start in a heartbeat to the one that the registry is given. The identity is the
+// correct mapping.
+type startMapping func(w *simulation, in registry.Instance) registry.Instance
+
+// simulation simulates instances that crash, leave and restart under the same ids and at
+// addresses of others, calls that are delayed and reordered, control instances that
+// restart, and an entry that merges their reports.
+type simulation struct {
+	random       *rand.Rand
+	now          time.Time
+	startMapping startMapping
+	processes    map[string]*process
 	// history holds all starts, the newest of an address last.
-	history []*process
-	letters []letter
-	sources []*registry.Registry
-	told    []uint64
-	merged  registry.Merged
-	// arrivals counts the heartbeats that arrived, and sequence those of each process.
+	history         []*process
+	calls           []call
+	sources         []*registry.Registry
+	reportedChanges []uint64
+	merged          registry.Merged
+	// arrivals counts the heartbeats that arrived, for the mapping that orders by arrival.
 	arrivals uint64
 	// known is the latest start of each id that any control instance has heard of.
 	known map[string]registry.Start
@@ -62,36 +63,36 @@
 	starts  map[string]registry.Start
 }
 
-func newWorld(seed uint64, r reading) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(seed, 27)), now: time.Unix(1_700_000_000, 0), reading: r, processes: map[string]*process{},
-		merged: registry.Merged{Grace: 4 * beat}, known: map[string]registry.Start{}, ownedBy: map[string]registry.Incarnation{}, starts: map[string]registry.Start{},
+func newSimulation(seed uint64, r startMapping) *simulation {
+	w := &simulation{
+		random: rand.New(rand.NewPCG(seed, 27)), now: time.Unix(1_700_000_000, 0), startMapping: r, processes: map[string]*process{},
+		merged: registry.Merged{Grace: 4 * heartbeatInterval}, known: map[string]registry.Start{}, ownedBy: map[string]registry.Incarnation{}, starts: map[string]registry.Start{},
 	}
-	for range worldSources {
-		w.sources = append(w.sources, &registry.Registry{SilentAfter: 4 * beat})
-		w.told = append(w.told, 0)
+	for range simulationSources {
+		w.sources = append(w.sources, &registry.Registry{SilentAfter: 4 * heartbeatInterval})
+		w.reportedChanges = append(w.reportedChanges, 0)
 	}
 	return w
 }
 
-// step lets a moment pass, and returns what is wrong after it.
-func (w *world) step() string {
-	w.now = w.now.Add(worldStep)
-	for i := range worldIDs {
-		w.live(fmt.Sprint("i", i))
+// step advances the time by one tick, and returns the invariant that is violated afterwards, if any.
+func (w *simulation) step() string {
+	w.now = w.now.Add(simulationStep)
+	for i := range simulationIDs {
+		w.stepInstance(fmt.Sprint("i", i))
 	}
 	w.deliver()
 	for i, s := range w.sources {
 		s.Sweep(w.now)
 		w.restart(i)
-		w.merged.Merge(fmt.Sprint("c", i), w.sources[i].Since(w.told[i]), w.now)
-		w.told[i] = w.sources[i].Change()
+		w.merged.Merge(fmt.Sprint("c", i), w.sources[i].Since(w.reportedChanges[i]), w.now)
+		w.reportedChanges[i] = w.sources[i].Change()
 	}
-	return w.wrong()
+	return w.checkInvariants()
 }
 
-// live has one instance start, say something, or end.
-func (w *world) live(id string) {
+// stepInstance lets one instance start, send a heartbeat, or end.
+func (w *simulation) stepInstance(id string) {
 	p := w.processes[id]
 	switch {
 	case p == nil:
@@ -104,16 +105,16 @@
 			w.send(p.in, true)
 		}
 		delete(w.processes, id)
-	case !w.now.Before(p.beatsAt):
+	case !w.now.Before(p.nextHeartbeat):
 		p.in.Sequence++
-		p.beatsAt = w.now.Add(beat)
+		p.nextHeartbeat = w.now.Add(heartbeatInterval)
 		w.send(p.in, false)
 	}
 }
 
-// start starts an instance at an address that nobody has. Its counts begin anew, high or low.
-func (w *world) start(id string) {
-	address := fmt.Sprint("a", w.random.IntN(worldAddresses))
+// start starts an instance at an unused address. Its sequence numbers begin at a low or a high value.
+func (w *simulation) start(id string) {
+	address := fmt.Sprint("a", w.random.IntN(simulationAddresses))
 	for _, p := range w.processes {
 		if p.in.Address == address {
 			return
@@ -122,45 +123,45 @@
 	p := &process{in: registry.Instance{
 		ID: id, Start: registry.Start(w.now.UnixMilli()), Service: "s", Address: address, Slots: 1,
 		Sequence: uint64(w.random.IntN(2)) * 1000,
-	}, beatsAt: w.now}
+	}, nextHeartbeat: w.now}
 	w.processes[id] = p
 	w.history = append(w.history, p)
 }
 
-// send sends a call, which comes soon, late, or never.
-func (w *world) send(in registry.Instance, leaves bool) {
-	late := time.Duration(w.random.IntN(3)) * worldStep
+// send sends a call, which arrives soon, late, or never.
+func (w *simulation) send(in registry.Instance, leaves bool) {
+	delay := time.Duration(w.random.IntN(3)) * simulationStep
 	switch w.random.IntN(20) {
 	case 0:
 		return
 	case 1, 2:
-		late = time.Duration(w.random.Int64N(int64(mostLate)))
+		delay = time.Duration(w.random.Int64N(int64(maxCallDelay)))
 	}
-	w.letters = append(w.letters, letter{w.now.Add(late), w.random.IntN(worldSources), in, leaves})
+	w.calls = append(w.calls, call{w.now.Add(delay), w.random.IntN(simulationSources), in, leaves})
 }
 
-func (w *world) deliver() {
-	var later []letter
-	for _, l := range w.letters {
+func (w *simulation) deliver() {
+	var later []call
+	for _, l := range w.calls {
 		if l.at.After(w.now) {
 			later = append(later, l)
 			continue
 		}
-		w.note(l)
-		in := w.reading(w, l.in)
+		w.recordArrival(l)
+		in := w.startMapping(w, l.in)
 		if l.leaves {
 			w.sources[l.to].Leave(in.Incarnation(), w.now)
 		} else {
 			w.sources[l.to].RecordHeartbeat(in, w.now)
 		}
 	}
-	w.letters = later
+	w.calls = later
 }
 
-// note remembers what can be known by now, whatever is made of it. Of a start that comes only
-// after a later one is known, nothing is kept, so its address stays whose it was; and a goodbye tells
-// no address.
-func (w *world) note(l letter) {
+// recordArrival records what the control instances can know after a call, independent of their
+// implementation. A start that arrives after a later one of the same id does not change the owner of its
+// address, and a sign-off carries no address.
+func (w *simulation) recordArrival(l call) {
 	in := l.in
 	late := in.Start < w.known[in.ID]
 	w.known[in.ID] = max(w.known[in.ID], in.Start)
@@ -169,26 +170,26 @@
 	}
 }
 
-// restart has a control instance begin anew now and then, with what it wrote down.
-func (w *world) restart(i int) {
+// restart restarts a control instance from its persisted reports now and then.
+func (w *simulation) restart(i int) {
 	if w.random.IntN(200) != 0 {
 		return
 	}
-	next := &registry.Registry{SilentAfter: 4 * beat}
+	next := &registry.Registry{SilentAfter: 4 * heartbeatInterval}
 	for _, report := range w.sources[i].Since(0) {
-		next.Restore(report, w.now, 2*beat)
+		next.Restore(report, w.now, 2*heartbeatInterval)
 	}
 	w.sources[i] = next
-	w.told[i] = 0
+	w.reportedChanges[i] = 0
 	w.merged.BeginResync(fmt.Sprint("c", i))
 	w.merged.Merge(fmt.Sprint("c", i), next.Since(0), w.now)
 	w.merged.EndResync(fmt.Sprint("c", i), w.now)
-	w.told[i] = next.Change()
+	w.reportedChanges[i] = next.Change()
 }
 
-// wrong names an instance that is used though a later start of it, or at its address, is known,
-// and one that has run for long and is not.
-func (w *world) wrong() string {
+// checkInvariants returns an error text for an instance that is used although a later start of it, or at
+// its address, is known, and for an instance that has run for long and is not used.
+func (w *simulation) checkInvariants() string {
 	used := map[string]bool{}
 	for _, in := range w.merged.Live(w.now) {
 		var at *process
@@ -207,16 +208,16 @@
 		}
 	}
 	for id, p := range w.processes {
-		if w.now.Sub(time.UnixMilli(int64(p.in.Start))) > mostLate+2*beat && !used[id] && w.beatLately(p) {
+		if w.now.Sub(time.UnixMilli(int64(p.in.Start))) > maxCallDelay+2*heartbeatInterval && !used[id] && w.reportedLately(p) {
 			return fmt.Sprintf("%s runs and is not used", id)
 		}
 	}
 	return ""
 }
 
-// beatLately reports whether a heartbeat of a process has just been delivered to some control
-// instance: others are lost or late.
-func (w *world) beatLately(p *process) bool {
+// reportedLately reports whether one of the last two heartbeats of a process was delivered to some control
+// instance; heartbeats can be lost or late.
+func (w *simulation) reportedLately(p *process) bool {
 	for _, s := range w.sources {
 		for _, r := range s.Since(0) {
 			if r.ID == p.in.ID && r.Address == p.in.Address && !r.Silent && !r.Left && r.Sequence+1 >= p.in.Sequence {
@@ -228,7 +229,7 @@
 }
 
 // latest returns the latest start of an id.
-func (w *world) latest(id string) *process {
+func (w *simulation) latest(id string) *process {
 	var out *process
 	for _, p := range w.history {
 		if p.in.ID == id {
@@ -238,12 +239,12 @@
 	return out
 }
 
-// run plays a world and returns what is wrong first.
-func run(seed uint64, r reading) string {
-	w := newWorld(seed, r)
-	for range worldSteps {
-		if wrong := w.step(); wrong != "" {
-			return wrong
+// runSimulation runs a simulation and returns the first violation, or an empty string.
+func runSimulation(seed uint64, r startMapping) string {
+	w := newSimulation(seed, r)
+	for range simulationSteps {
+		if violation := w.step(); violation != "" {
+			return violation
 		}
 	}
 	return ""
