--- a/bench/control.go
+++ b/bench/control.go
@@ -109,7 +109,7 @@
 func leaderOf(addresses []string) int {
 	for {
 		for i := range addresses {
-			for _, s := range controlclient.New(controlclient.Fixed(addresses[i : i+1])).Status(context.Background()) {
+			for _, s := range controlclient.New(controlclient.StaticAddresses(addresses[i : i+1])).Status(context.Background()) {
 				if s.Leader == s.Incarnation && s.Incarnation != "" {
 					return i
 				}
--- a/bench/lab.go
+++ b/bench/lab.go
@@ -96,7 +96,7 @@
 	for i := range n {
 		processes = append(processes, l.start(l.controlArgs(i, addresses)...))
 	}
-	return processes, addresses, controlclient.New(controlclient.Fixed(addresses))
+	return processes, addresses, controlclient.New(controlclient.StaticAddresses(addresses))
 }
 
 func (l *lab) controlArgs(i int, addresses []string) []string {
--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -29,7 +29,7 @@
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, c.Timeout)
 	defer cancel()
-	client := controlclient.New(controlclient.Fixed(c.Control))
+	client := controlclient.New(controlclient.StaticAddresses(c.Control))
 	done, err := client.Evacuate(ctx, c.Domain, c.End)
 	if err != nil {
 		return failure{exitFailed, errors.Wrapf(err, "%s: nobody can say yet whether it was taken; give the same order again", c.Domain)}
--- a/internal/cli/local.go
+++ b/internal/cli/local.go
@@ -65,7 +65,7 @@
 	group.Go(func() error {
 		return runControl(ctx, p.log, 1, []control.Peer{{ID: 1, Address: address}}, opened[2], data)
 	})
-	client := controlclient.New(controlclient.Fixed([]string{address}))
+	client := controlclient.New(controlclient.StaticAddresses([]string{address}))
 	e := &entry.Entry{
 		Name: "local", FailureDomain: "local", Callers: opened[0], Operators: opened[1],
 		Secrets: [][]byte{[]byte(localSecret)}, Control: client, Log: p.log,
--- a/internal/cli/operate.go
+++ b/internal/cli/operate.go
@@ -63,7 +63,7 @@
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, c.Timeout)
 	defer cancel()
-	client := controlclient.New(controlclient.Fixed(c.Control))
+	client := controlclient.New(controlclient.StaticAddresses(c.Control))
 	var revision uint64
 	for _, file := range c.Files {
 		text, err := os.ReadFile(file)
@@ -173,7 +173,7 @@
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, c.Timeout)
 	defer cancel()
-	replicas := controlclient.New(controlclient.Fixed(c.Control)).Status(ctx)
+	replicas := controlclient.New(controlclient.StaticAddresses(c.Control)).Status(ctx)
 	if len(replicas) == 0 {
 		return failure{exitFailed, errors.Errorf("no replica of the control log answers at %v", c.Control)}
 	}
--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -99,7 +99,7 @@
 	}
 	e := &entry.Entry{
 		Name: c.Name, FailureDomain: c.FailureDomain, Callers: listeners[0], Operators: listeners[1],
-		Secrets: secrets, Control: controlclient.New(controlclient.Fixed(c.Control)),
+		Secrets: secrets, Control: controlclient.New(controlclient.StaticAddresses(c.Control)),
 		Instances: c.Instances, MaxBody: c.MaxBody, MaxWaiting: c.MaxWaiting, Contexts: c.Contexts, Log: p.log,
 		Peers: &peers.Peers{Name: c.Name, FailureDomain: c.FailureDomain, Listener: listeners[2], Seeds: c.Seeds, Log: p.log},
 	}
--- a/internal/system/control_test.go
+++ b/internal/system/control_test.go
@@ -169,7 +169,7 @@
 	// It is asked directly, and must not accept a second version 2.
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	only := controlclient.New(controlclient.Fixed(g.addresses[frozen : frozen+1]))
+	only := controlclient.New(controlclient.StaticAddresses(g.addresses[frozen : frozen+1]))
 	a, err := only.Apply(ctx, "models.yaml", []byte("document: models\nversion: 2\n"+models("stale")))
 	if err == nil && a.Result == wire.ApplyResponse_ACCEPTED {
 		t.Fatalf("the thawed leader accepted: %v", a)
--- a/internal/system/domain_test.go
+++ b/internal/system/domain_test.go
@@ -14,7 +14,7 @@
 
 // applied returns what the control log heard of an entry.
 func (f *fleet) applied(name string) (revision uint64, unconfirmed, ok bool) {
-	for _, s := range controlclient.New(controlclient.Fixed(f.addresses)).Status(context.Background()) {
+	for _, s := range controlclient.New(controlclient.StaticAddresses(f.addresses)).Status(context.Background()) {
 		for _, a := range s.Applied {
 			if a.Name == name && a.Revision >= revision {
 				revision, unconfirmed, ok = a.Revision, a.Unconfirmed, true
--- a/internal/system/evacuation_test.go
+++ b/internal/system/evacuation_test.go
@@ -70,7 +70,7 @@
 // Orders of two operators at once, and the same one given again, have one end state.
 func TestRacingEvacuations(t *testing.T) {
 	f := startFleet(t, startGroup(t, 3, nil), 1)
-	client := func() *controlclient.Client { return controlclient.New(controlclient.Fixed(f.addresses)) }
+	client := func() *controlclient.Client { return controlclient.New(controlclient.StaticAddresses(f.addresses)) }
 	revisions := make(chan uint64, 4)
 	for range cap(revisions) {
 		go func() {
--- a/internal/system/group_test.go
+++ b/internal/system/group_test.go
@@ -47,7 +47,7 @@
 		g.replicas = append(g.replicas, p)
 		l.Attach(replicaName(i), p)
 	}
-	g.client = controlclient.New(controlclient.Fixed(g.addresses))
+	g.client = controlclient.New(controlclient.StaticAddresses(g.addresses))
 	return g
 }
 
@@ -65,7 +65,7 @@
 func (g *group) status(i int) (*wire.StatusResponse, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	all := controlclient.New(controlclient.Fixed(g.addresses[i : i+1])).Status(ctx)
+	all := controlclient.New(controlclient.StaticAddresses(g.addresses[i : i+1])).Status(ctx)
 	if len(all) == 0 {
 		return nil, false
 	}
--- a/internal/transport/control/fixture_test.go
+++ b/internal/transport/control/fixture_test.go
@@ -36,5 +36,5 @@
 			t.Error(err)
 		}
 	})
-	return controlclient.New(controlclient.Fixed([]string{r.Address}))
+	return controlclient.New(controlclient.StaticAddresses([]string{r.Address}))
 }
--- a/internal/transport/controlclient/client.go
+++ b/internal/transport/controlclient/client.go
@@ -46,8 +46,8 @@
 	return &Client{http: rpc.NewClient(), addresses: addresses}
 }
 
-// Fixed returns an address list that never changes.
-func Fixed(addresses []string) func() []string {
+// StaticAddresses returns an address list that never changes.
+func StaticAddresses(addresses []string) func() []string {
 	return func() []string { return addresses }
 }
 
--- a/internal/transport/entry/fixture_test.go
+++ b/internal/transport/entry/fixture_test.go
@@ -69,7 +69,7 @@
 	t.Helper()
 	s := &deployment{t: t, docs: map[string]string{}}
 	s.controlAddress = s.startControl()
-	s.control = controlclient.New(controlclient.Fixed([]string{s.controlAddress}))
+	s.control = controlclient.New(controlclient.StaticAddresses([]string{s.controlAddress}))
 	upstreams := "upstreams:\n"
 	for i, o := range options {
 		e := engine.New(o)
