--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -106,7 +106,7 @@
 	if s.FirstStart {
 		replica.Peers = founders(s)
 	}
-	calls := callmetrics.New(func() callmetrics.Standing { return standing(replica, follower) })
+	calls := callmetrics.New(func() callmetrics.ReplicaState { return standing(replica, follower) })
 	return &platformControl{
 		replica: replica, client: client, follower: follower, log: logger,
 		keeper: &keeping.StoreWatcher{
@@ -117,7 +117,7 @@
 			View: follower.View, Leading: replica.Leading, CommitRequired: replica.RequireWeights, OldWeightsGrace: s.OldWeights(), Log: logger,
 		},
 		calls: &http.Server{
-			Handler:           calls.Count(platform.Control{Control: client, Source: source, Domains: func() []string { return file.Current().FailureDomains }, OnReportRefused: calls.Refused, Log: logger}.Handler()),
+			Handler:           calls.Instrument(platform.Control{Control: client, Source: source, Domains: func() []string { return file.Current().FailureDomains }, OnReportRefused: calls.CountRefusedReport, Log: logger}.Handler()),
 			ReadHeaderTimeout: headTimeout,
 		},
 		metrics: &http.Server{Handler: calls.Handler(), ReadHeaderTimeout: headTimeout},
@@ -125,10 +125,10 @@
 }
 
 // standing is how a control instance stands, for its metrics.
-func standing(replica *control.Replica, follower *fleet.Follower) callmetrics.Standing {
+func standing(replica *control.Replica, follower *fleet.Follower) callmetrics.ReplicaState {
 	view := follower.View()
 	term, leading := replica.Leading()
-	out := callmetrics.Standing{Leading: leading, Term: term}
+	out := callmetrics.ReplicaState{Leading: leading, Term: term}
 	if view.Config != nil {
 		out.Version = view.Config.Version
 	}
--- a/internal/transport/callmetrics/callmetrics.go
+++ b/internal/transport/callmetrics/callmetrics.go
@@ -16,8 +16,8 @@
 // unknownCall labels calls that nothing serves, so that callers cannot make up labels.
 const unknownCall = "unknown"
 
-// Standing is how a control instance stands.
-type Standing struct {
+// ReplicaState is how a control instance stands.
+type ReplicaState struct {
 	// Leading says whether it leads the control log, and Term in which term.
 	Leading bool
 	Term    uint64
@@ -36,7 +36,7 @@
 }
 
 // New returns metrics that count from 0; standing is asked whenever they are read.
-func New(standing func() Standing) *Metrics {
+func New(standing func() ReplicaState) *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -59,20 +59,20 @@
 }
 
 // gauges tell how a control instance stands whenever they are read.
-func gauges(standing func() Standing) []prometheus.Collector {
-	gauge := func(name, help string, value func(Standing) float64) prometheus.Collector {
+func gauges(standing func() ReplicaState) []prometheus.Collector {
+	gauge := func(name, help string, value func(ReplicaState) float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return value(standing()) })
 	}
 	return []prometheus.Collector{
-		gauge("shedrock_leading", "1 while this instance leads the control log.", func(s Standing) float64 {
+		gauge("shedrock_leading", "1 while this instance leads the control log.", func(s ReplicaState) float64 {
 			if s.Leading {
 				return 1
 			}
 			return 0
 		}),
-		gauge("shedrock_term", "The term of the control log.", func(s Standing) float64 { return float64(s.Term) }),
-		gauge("shedrock_configuration_version", "The newest configuration applied here.", func(s Standing) float64 { return float64(s.Version) }),
-		gauge("shedrock_instances", "Instances that live, as far as is known here.", func(s Standing) float64 { return float64(s.Instances) }),
+		gauge("shedrock_term", "The term of the control log.", func(s ReplicaState) float64 { return float64(s.Term) }),
+		gauge("shedrock_configuration_version", "The newest configuration applied here.", func(s ReplicaState) float64 { return float64(s.Version) }),
+		gauge("shedrock_instances", "Instances that live, as far as is known here.", func(s ReplicaState) float64 { return float64(s.Instances) }),
 	}
 }
 
@@ -81,9 +81,9 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Count counts and times what next serves; next must be a *http.ServeMux or set the request's
+// Instrument counts and times what next serves; next must be a *http.ServeMux or set the request's
 // pattern as one does.
-func (m *Metrics) Count(next http.Handler) http.Handler {
+func (m *Metrics) Instrument(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began := clock.Now()
 		status := &statusWriter{ResponseWriter: w, status: http.StatusOK}
@@ -97,8 +97,8 @@
 	})
 }
 
-// Refused counts a report of an instance that was not taken; reason is one of few words.
-func (m *Metrics) Refused(reason string) { m.refused.WithLabelValues(reason).Inc() }
+// CountRefusedReport counts a report of an instance that was not taken; reason is one of few words.
+func (m *Metrics) CountRefusedReport(reason string) { m.refused.WithLabelValues(reason).Inc() }
 
 // statusWriter remembers the status that was written.
 type statusWriter struct {
--- a/internal/transport/callmetrics/callmetrics_test.go
+++ b/internal/transport/callmetrics/callmetrics_test.go
@@ -14,13 +14,13 @@
 // Calls are counted by what serves them, whatever ids stand in their paths, and the standing
 // is read with the metrics.
 func TestCallsAreCounted(t *testing.T) {
-	m := callmetrics.New(func() callmetrics.Standing {
-		return callmetrics.Standing{Leading: true, Term: 3, Version: 7, Instances: 2}
+	m := callmetrics.New(func() callmetrics.ReplicaState {
+		return callmetrics.ReplicaState{Leading: true, Term: 3, Version: 7, Instances: 2}
 	})
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /beat/{id}", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("POST /put", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadRequest) })
-	counted := m.Count(mux)
+	counted := m.Instrument(mux)
 	for _, path := range []string{"/beat/a", "/beat/b", "/put", "/nowhere"} {
 		counted.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, path, nil))
 	}
