--- a/internal/cli/platform_control.go
+++ b/internal/cli/platform_control.go
@@ -98,9 +98,9 @@
 	engines := platform.NewEngineClient()
 	replica := &control.Replica{
 		ID: replicaID(s.IP), Address: s.PeerAddress(), FailureDomain: s.FailureDomain,
-		Folder: folder, Restart: restart, Ledger: ledger, Listener: peers, Log: logger,
-		Heal:   &membership.Policy{Voters: 2*int(s.Losses) + 1, DeadTicks: deadTicks(s)},
-		Source: source, WaitOut: s.Lease() + leaseMargin, OrderInterval: orderInterval,
+		Folder: folder, RecoveredState: restart, Ledger: ledger, Listener: peers, Log: logger,
+		MembershipPolicy: &membership.Policy{Voters: 2*int(s.Losses) + 1, DeadTicks: deadTicks(s)},
+		Source:           source, OrderPredecessorTimeout: s.Lease() + leaseMargin, OrderInterval: orderInterval,
 		Fleet: &orders.RegisteredEngines{View: follower.View, Engines: engines, Holder: s.Name, Source: source, OldWeightsGrace: s.OldWeights(), Log: logger},
 	}
 	if s.FirstStart {
@@ -110,7 +110,7 @@
 	return &platformControl{
 		replica: replica, client: client, follower: follower, log: logger,
 		keeper: &keeping.StoreWatcher{
-			View: follower.View, Leading: replica.Leading, ConfirmLeadership: replica.Confirm, Source: source, Stores: platform.NewStoreClient(), Log: logger,
+			View: follower.View, Leading: replica.Leading, ConfirmLeadership: replica.VerifyLeader, Source: source, Stores: platform.NewStoreClient(), Log: logger,
 		},
 		loads: &loads.Poller{View: follower.View, Leading: replica.Leading, Engines: engines, Source: source, Log: logger},
 		requirer: &orders.Requirer{
--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -61,7 +61,7 @@
 	}
 	r := &control.Replica{
 		ID: id, Address: advertised(id, peers, listener), Peers: peers, Folder: folder,
-		Restart: restart, Ledger: ledger, Listener: listener, Log: logger,
+		RecoveredState: restart, Ledger: ledger, Listener: listener, Log: logger,
 	}
 	logger.Info().Str("event", "control_serves").Uint64("id", id).Str("address", r.Address).Str("incarnation", folder.Incarnation()).Bool("blank", folder.Created()).Int64("cut_bytes", folder.TruncatedBytes()).Msg("")
 	return r.Run(ctx)
--- a/internal/transport/control/disk_test.go
+++ b/internal/transport/control/disk_test.go
@@ -30,7 +30,7 @@
 		}
 		return nil
 	}
-	client := startAlone(t, &control.Replica{Folder: folder, Restart: restart, Ledger: ledger})
+	client := startAlone(t, &control.Replica{Folder: folder, RecoveredState: restart, Ledger: ledger})
 	apply := func(version int, patience time.Duration) (*wire.ApplyResponse, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
--- a/internal/transport/control/effects.go
+++ b/internal/transport/control/effects.go
@@ -287,7 +287,7 @@
 // nextMembers decides the next step, towards the declared replicas or by what the
 // replicas themselves show.
 func (r *Replica) nextMembers(group membership.Group) (next []replication.Member, step string, ok bool) {
-	if r.Heal == nil {
+	if r.MembershipPolicy == nil {
 		return membership.NextMembers(group, r.Ledger.Declared().Control().Replicas())
 	}
 	group.Self = replication.Node(r.Folder.Incarnation())
@@ -296,7 +296,7 @@
 	// Whoever still needs to join asks again; an old wish of an address that came back
 	// under another incarnation must not be granted later.
 	clear(r.joiners)
-	return membership.Heal(group, joiners, *r.Heal)
+	return membership.Heal(group, joiners, *r.MembershipPolicy)
 }
 
 func encodeCommand(c *command.Command) ([]byte, bool) {
--- a/internal/transport/control/replica.go
+++ b/internal/transport/control/replica.go
@@ -70,24 +70,24 @@
 	Peers []Peer
 	// Folder is the open data folder. Run closes it.
 	Folder *disk.Folder
-	// Restart is what Open read from the folder.
-	Restart replication.StoredState
+	// RecoveredState is what Open read from the folder.
+	RecoveredState replication.StoredState
 	// Ledger is the state that the folder's snapshot holds.
 	Ledger *ledger.Ledger
 	// Listener takes connections. Run closes it.
 	Listener net.Listener
 	// FailureDomain is that of this instance.
 	FailureDomain string
-	// Heal, when set, has the leader choose the replicas itself, from those that ask to
+	// MembershipPolicy, when set, has the leader choose the replicas itself, from those that ask to
 	// join, in place of the declared ones.
-	Heal *membership.Policy
+	MembershipPolicy *membership.Policy
 	// Source, when set, tells others what was applied of the log.
 	Source *fleet.Source
 	// Fleet, when set, is what this replica orders weight versions on while it leads, in
 	// place of the declared engines.
 	Fleet orders.Fleet
-	// WaitOut and OrderInterval are passed on to the orders.Controller.
-	WaitOut, OrderInterval time.Duration
+	// OrderPredecessorTimeout and OrderInterval are passed on to the orders.Controller.
+	OrderPredecessorTimeout, OrderInterval time.Duration
 	// Log receives one line for each event.
 	Log *log.Logger
 	// Tick and SnapshotBytes have defaults when zero.
@@ -194,7 +194,7 @@
 	served := make(chan error, 1)
 	go func() { served <- rpc.Serve(serving, r.Listener, r.Handler()) }()
 	go r.found(ctx)
-	orderer := &orders.Controller{Leading: r.view.leading, CommitToken: r.takeToken, ConfirmLeadership: r.Confirm, Fleet: r.Fleet, PredecessorTimeout: r.WaitOut, Interval: r.OrderInterval, Log: r.Log}
+	orderer := &orders.Controller{Leading: r.view.leading, CommitToken: r.takeToken, ConfirmLeadership: r.VerifyLeader, Fleet: r.Fleet, PredecessorTimeout: r.OrderPredecessorTimeout, Interval: r.OrderInterval, Log: r.Log}
 	if orderer.Fleet == nil {
 		orderer.Fleet = &orders.DeclaredEngines{State: r.view.feed.State}
 	}
@@ -228,7 +228,7 @@
 		r.readers = map[uint64]readRequest{}
 		r.joiners = map[replication.Node]membership.Joiner{}
 		r.view.init(r.Source)
-		r.start(r.Restart)
+		r.start(r.RecoveredState)
 	})
 }
 
--- a/internal/transport/control/resend_test.go
+++ b/internal/transport/control/resend_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := startAlone(t, &control.Replica{Folder: folder, Restart: restart, Ledger: ledger})
+	client := startAlone(t, &control.Replica{Folder: folder, RecoveredState: restart, Ledger: ledger})
 	logged := func() int64 {
 		info, err := os.Stat(filepath.Join(path, "log"))
 		if err != nil {
--- a/internal/transport/control/service.go
+++ b/internal/transport/control/service.go
@@ -220,8 +220,8 @@
 	return &wire.JoinResponse{}, nil
 }
 
-// Confirm makes sure that this replica still leads: a majority answers after the call.
-func (r *Replica) Confirm(ctx context.Context) error {
+// VerifyLeader makes sure that this replica still leads: a majority answers after the call.
+func (r *Replica) VerifyLeader(ctx context.Context) error {
 	return controlService{r}.look(ctx, func(*ledger.Ledger) {})
 }
 
--- a/internal/transport/control/size_test.go
+++ b/internal/transport/control/size_test.go
@@ -177,7 +177,7 @@
 		n.t.Fatal(err)
 	}
 	n.replica = &control.Replica{
-		ID: n.id, Address: n.link.address(), Peers: peers, Folder: folder, Restart: restart, Ledger: ledger,
+		ID: n.id, Address: n.link.address(), Peers: peers, Folder: folder, RecoveredState: restart, Ledger: ledger,
 		Listener: listener, Log: &log.Logger{Writer: log.IOWriter{Writer: &n.snapshots}}, Tick: slowdown * control.DefaultTick,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/transport/entry/fixture_test.go
+++ b/internal/transport/entry/fixture_test.go
@@ -122,7 +122,7 @@
 	address := listener.Addr().String()
 	r := &control.Replica{
 		ID: 1, Address: address, Peers: []control.Peer{{ID: 1, Address: address}}, Folder: folder,
-		Restart: restart, Ledger: ledger, Listener: listener, Log: discardLogger(), Tick: 10 * time.Millisecond,
+		RecoveredState: restart, Ledger: ledger, Listener: listener, Log: discardLogger(), Tick: 10 * time.Millisecond,
 	}
 	runInBackground(s.t, r.Run)
 	return address
