--- a/internal/state/weights/weights.go
+++ b/internal/state/weights/weights.go
@@ -20,28 +20,28 @@
 // within the bound and still be told apart.
 const mostNamed = 16
 
-// Allowance says how long requests may begin on old weights.
-type Allowance struct {
-	// Bound is how long after the naming of newer ones; 0 is without an end.
-	Bound time.Duration
-	// Since, when set, is when this process was last out of reach of whoever brings engines to
+// GracePolicy says how long requests may begin on old weights.
+type GracePolicy struct {
+	// Period is how long after the naming of newer ones; 0 is without an end.
+	Period time.Duration
+	// LastUnreachable, when set, is when this process was last out of reach of whoever brings engines to
 	// new weights: no bound is over sooner than if the versions had been named then.
-	Since time.Time
-	// Paused says that it is out of reach now: then no version is required, so that whoever is
+	LastUnreachable time.Time
+	// Unreachable says that it is out of reach now: then no version is required, so that whoever is
 	// cut off goes on with what there is.
-	Paused bool
+	Unreachable bool
 }
 
 // end returns when the time of versions before one that was named at a time is over.
-func (a Allowance) end(at time.Time) time.Time {
-	if at.Before(a.Since) {
-		at = a.Since
+func (a GracePolicy) end(at time.Time) time.Time {
+	if at.Before(a.LastUnreachable) {
+		at = a.LastUnreachable
 	}
-	return at.Add(a.Bound)
+	return at.Add(a.Period)
 }
 
-// Naming is when a version was named.
-type Naming struct {
+// Announcement is when a version was named.
+type Announcement struct {
 	Version uint64
 	// At is when a majority of the control log had the version, or somewhat later: as much
 	// as it took to hear of it.
@@ -55,11 +55,11 @@
 	due uint64
 	// named is in the order of versions, and of times too: a version that was named after a
 	// newer one was heard of says nothing more.
-	named []Naming
+	named []Announcement
 }
 
-// Name adds a naming. A version that is known keeps its earliest time.
-func (h History) Name(n Naming) History {
+// Announce adds a naming. A version that is known keeps its earliest time.
+func (h History) Announce(n Announcement) History {
 	out := History{due: h.due}
 	for _, known := range h.named {
 		if known.Version == n.Version && known.At.Before(n.At) {
@@ -75,17 +75,17 @@
 	return out.settled()
 }
 
-// Require notes that the bound of a version is over, whatever its naming's time.
-func (h History) Require(version uint64) History {
+// Enforce notes that the bound of a version is over, whatever its naming's time.
+func (h History) Enforce(version uint64) History {
 	h.due = max(h.due, version)
 	return h.settled()
 }
 
-// Join adds all that another history knows.
-func (h History) Join(other History) History {
-	out := h.Require(other.due)
+// Merge adds all that another history knows.
+func (h History) Merge(other History) History {
+	out := h.Enforce(other.due)
 	for _, n := range other.named {
-		out = out.Name(n)
+		out = out.Announce(n)
 	}
 	return out
 }
@@ -94,7 +94,7 @@
 // the newer version then counts from the older one's time, which is stricter.
 func (h History) settled() History {
 	named := slices.Clone(h.named)
-	slices.SortFunc(named, func(a, b Naming) int {
+	slices.SortFunc(named, func(a, b Announcement) int {
 		if a.Version < b.Version {
 			return -1
 		}
@@ -102,7 +102,7 @@
 	})
 	kept := named[:0]
 	for i, n := range named {
-		newerWasEarlier := slices.ContainsFunc(named[i+1:], func(later Naming) bool { return !later.At.After(n.At) })
+		newerWasEarlier := slices.ContainsFunc(named[i+1:], func(later Announcement) bool { return !later.At.After(n.At) })
 		if n.Version > h.due && !newerWasEarlier {
 			kept = append(kept, n)
 		}
@@ -122,24 +122,24 @@
 	return h.named[len(h.named)-1].Version
 }
 
-// NewestAt returns when the newest version was named; ok is false when that is not known any
+// NewestAnnouncedAt returns when the newest version was named; ok is false when that is not known any
 // more, because its bound is over.
-func (h History) NewestAt() (at time.Time, ok bool) {
+func (h History) NewestAnnouncedAt() (at time.Time, ok bool) {
 	if len(h.named) == 0 {
 		return time.Time{}, false
 	}
 	return h.named[len(h.named)-1].At, true
 }
 
-// Due returns the newest version of which it is certain that its bound is over.
-func (h History) Due() uint64 { return h.due }
+// Enforced returns the newest version of which it is certain that its bound is over.
+func (h History) Enforced() uint64 { return h.due }
 
-// Named returns the namings in the order of versions.
-func (h History) Named() []Naming { return slices.Clone(h.named) }
+// Announcements returns the namings in the order of versions.
+func (h History) Announcements() []Announcement { return slices.Clone(h.named) }
 
 // Required returns the oldest version on which a request may begin at a time. 0 is any.
-func (h History) Required(now time.Time, a Allowance) uint64 {
-	if a.Paused {
+func (h History) Required(now time.Time, a GracePolicy) uint64 {
+	if a.Unreachable {
 		return 0
 	}
 	required := uint64(0)
@@ -147,23 +147,23 @@
 		required = h.due
 	}
 	for _, n := range h.named {
-		if a.Bound > 0 && !now.Before(a.end(n.At)) {
+		if a.Period > 0 && !now.Before(a.end(n.At)) {
 			required = max(required, n.Version)
 		}
 	}
 	return required
 }
 
-// Until returns until when a request may begin on a version; ok is false when no end is known.
-func (h History) Until(version uint64, a Allowance) (end time.Time, ok bool) {
-	if a.Paused {
+// AllowedUntil returns until when a request may begin on a version; ok is false when no end is known.
+func (h History) AllowedUntil(version uint64, a GracePolicy) (end time.Time, ok bool) {
+	if a.Unreachable {
 		return time.Time{}, false
 	}
 	if version < h.due {
 		return h.dueEnd(a), true
 	}
 	for _, n := range h.named {
-		if a.Bound > 0 && n.Version > version {
+		if a.Period > 0 && n.Version > version {
 			return a.end(n.At), true
 		}
 	}
@@ -172,9 +172,9 @@
 
 // dueEnd returns when the time of versions before the one that is certainly due is over for
 // who was out of reach, and long ago for others.
-func (h History) dueEnd(a Allowance) time.Time {
-	if a.Since.IsZero() {
+func (h History) dueEnd(a GracePolicy) time.Time {
+	if a.LastUnreachable.IsZero() {
 		return time.Time{}
 	}
-	return a.Since.Add(a.Bound)
+	return a.LastUnreachable.Add(a.Period)
 }
--- a/internal/transport/fleet/named.go
+++ b/internal/transport/fleet/named.go
@@ -11,8 +11,8 @@
 
 // OldWeightsGrace returns for how long requests may begin on old weights by this view, at a time and
 // when a bound is declared.
-func (v *View) OldWeightsGrace(bound time.Duration, now time.Time) weights.Allowance {
-	return weights.Allowance{Bound: bound, Since: v.Contact.LastUnreachable, Paused: v.Contact.Unreachable(now)}
+func (v *View) OldWeightsGrace(bound time.Duration, now time.Time) weights.GracePolicy {
+	return weights.GracePolicy{Period: bound, LastUnreachable: v.Contact.LastUnreachable, Unreachable: v.Contact.Unreachable(now)}
 }
 
 // newestOf returns the newest version of each model.
@@ -28,8 +28,8 @@
 func dueOf(named map[string]weights.History) map[string]uint64 {
 	out := map[string]uint64{}
 	for model, h := range named {
-		if h.Due() > 0 {
-			out[model] = h.Due()
+		if h.Enforced() > 0 {
+			out[model] = h.Enforced()
 		}
 	}
 	return out
@@ -39,7 +39,7 @@
 func fromNamed(named map[string]weights.History, now time.Time) []*wire.WeightNaming {
 	var out []*wire.WeightNaming
 	for _, model := range slices.Sorted(maps.Keys(named)) {
-		for _, n := range named[model].Named() {
+		for _, n := range named[model].Announcements() {
 			out = append(out, &wire.WeightNaming{Model: model, Version: n.Version, AgeMilliseconds: uint64(now.Sub(n.At).Milliseconds())})
 		}
 	}
@@ -50,22 +50,22 @@
 // held. One that does not tell when counts as if it had just heard of them.
 func (f *Follower) takeNamed(address string, out *wire.FleetResponse, now time.Time) {
 	for _, n := range out.Named {
-		f.name(address, n.Model, weights.Naming{Version: n.Version, At: before(now, n.AgeMilliseconds)}, now)
+		f.name(address, n.Model, weights.Announcement{Version: n.Version, At: before(now, n.AgeMilliseconds)}, now)
 	}
 	for _, w := range out.Due {
-		f.named[w.Model] = f.named[w.Model].Require(w.Version)
+		f.named[w.Model] = f.named[w.Model].Enforce(w.Version)
 	}
 	for _, w := range out.Weights {
 		if w.Version > f.named[w.Model].Newest() {
-			f.name(address, w.Model, weights.Naming{Version: w.Version, At: now}, now)
+			f.name(address, w.Model, weights.Announcement{Version: w.Version, At: now}, now)
 		}
 	}
 }
 
 // name takes one naming; mu must be held.
-func (f *Follower) name(address, model string, n weights.Naming, now time.Time) {
+func (f *Follower) name(address, model string, n weights.Announcement, now time.Time) {
 	known := f.named[model]
-	f.named[model] = known.Name(n)
+	f.named[model] = known.Announce(n)
 	if n.Version > known.Newest() {
 		f.Log.Info().Str("event", "weights_named").Str("model", model).Uint64("version", n.Version).Str("from", address).Dur("age_ms", now.Sub(n.At)).Msg("")
 	}
--- a/internal/transport/fleet/source.go
+++ b/internal/transport/fleet/source.go
@@ -168,7 +168,7 @@
 	now := clock.Now()
 	for model, version := range newest {
 		if version > s.named[model].Newest() {
-			s.named[model] = s.named[model].Name(weights.Naming{Version: version, At: now})
+			s.named[model] = s.named[model].Announce(weights.Announcement{Version: version, At: now})
 		}
 	}
 	s.wake()
@@ -180,7 +180,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for model, version := range due {
-		s.named[model] = s.named[model].Require(version)
+		s.named[model] = s.named[model].Enforce(version)
 	}
 }
 
--- a/internal/transport/fleet/weights_test.go
+++ b/internal/transport/fleet/weights_test.go
@@ -24,7 +24,7 @@
 func namedAt(t *testing.T, f *fleet.Follower, version uint64) time.Time {
 	t.Helper()
 	wait(t, "the version is known", func() bool { return f.View().Weights["m"] == version })
-	at, _ := f.View().WeightHistories["m"].NewestAt()
+	at, _ := f.View().WeightHistories["m"].NewestAnnouncedAt()
 	return at
 }
 
@@ -51,7 +51,7 @@
 		t.Errorf("nobody can know any more that it was named %s ago", time.Since(anew))
 	}
 	b.source.Load().RequireWeights(map[string]uint64{"m": 2})
-	wait(t, "the version is due", func() bool { return f.View().WeightHistories["m"].Due() == 2 })
+	wait(t, "the version is due", func() bool { return f.View().WeightHistories["m"].Enforced() == 2 })
 }
 
 // A process is out of reach of the control log while no source answers that knows a leader,
--- a/internal/transport/orders/registered_test.go
+++ b/internal/transport/orders/registered_test.go
@@ -262,7 +262,7 @@
 			if len(committed) == 1 {
 				return errors.New("no majority")
 			}
-			history = history.Require(version)
+			history = history.Enforce(version)
 			return nil
 		},
 		OldWeightsGrace: 6 * time.Second, Log: quiet,
@@ -274,7 +274,7 @@
 		defer synctest.Wait()
 		defer cancel()
 		mu.Lock()
-		history = weights.History{}.Name(weights.Naming{Version: 2, At: clock.Now().Add(-time.Hour)}).Name(weights.Naming{Version: 3, At: clock.Now()})
+		history = weights.History{}.Announce(weights.Announcement{Version: 2, At: clock.Now().Add(-time.Hour)}).Announce(weights.Announcement{Version: 3, At: clock.Now()})
 		mu.Unlock()
 		go r.Run(ctx)
 		time.Sleep(2500 * time.Millisecond)
--- a/internal/transport/orders/requirer.go
+++ b/internal/transport/orders/requirer.go
@@ -63,7 +63,7 @@
 	allowance := view.OldWeightsGrace(r.OldWeightsGrace, now)
 	for model, h := range view.WeightHistories {
 		version := h.Required(now, allowance)
-		if version <= h.Due() {
+		if version <= h.Enforced() {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, requireTimeout)
--- a/internal/transport/serving/weights.go
+++ b/internal/transport/serving/weights.go
@@ -41,7 +41,7 @@
 // weightsExpiry returns the time until which a request may begin on a version of a model. ok is false
 // while none is known.
 func (s *Server) weightsExpiry(view *fleet.View, model string, version uint64, now time.Time) (expiry time.Time, ok bool) {
-	return view.WeightHistories[model].Until(version, view.OldWeightsGrace(s.oldWeightsGrace(), now))
+	return view.WeightHistories[model].AllowedUntil(version, view.OldWeightsGrace(s.oldWeightsGrace(), now))
 }
 
 // usable returns the instances of the service without the engines on whose weights the request may no
--- a/internal/transport/serving/weights_known.go
+++ b/internal/transport/serving/weights_known.go
@@ -48,7 +48,7 @@
 	}
 	line = line.Uint64("weights_sent", k.pinned).Uint64("weights_believed", k.believed).Str("weights_by", by).Str("weights_from", k.source.Via).
 		Dur("weights_age_ms", k.at.Sub(k.source.At)).Uint64("weights_required", k.required).Uint64("weights_newest", k.history.Newest())
-	if newestAt, ok := k.history.NewestAt(); ok {
+	if newestAt, ok := k.history.NewestAnnouncedAt(); ok {
 		line = line.Dur("weights_newest_age_ms", k.at.Sub(newestAt))
 	}
 	return line
