--- a/internal/state/evacuation/evacuation.go
+++ b/internal/state/evacuation/evacuation.go
@@ -17,17 +17,17 @@
 	Revision uint64
 }
 
-// Book is the state in the control log; its zero value has no domain. It is not safe for concurrent
+// Table is the state in the control log; its zero value has no domain. It is not safe for concurrent
 // use.
-type Book struct {
+type Table struct {
 	domains map[string]Domain
 	// revision is the newest of all domains.
 	revision uint64
 }
 
 // Restore returns the book that holds some domains.
-func Restore(domains []Domain) *Book {
-	b := &Book{domains: map[string]Domain{}}
+func Restore(domains []Domain) *Table {
+	b := &Table{domains: map[string]Domain{}}
 	for _, d := range domains {
 		b.domains[d.Name] = d
 		b.revision = max(b.revision, d.Revision)
@@ -38,7 +38,7 @@
 // Change starts or ends the evacuation of a domain, unless that is so already or the domain has
 // changed since the revision that was seen: a command that comes late, after the operator has
 // changed the domain again, changes nothing. It returns the domain as it is then.
-func (b *Book) Change(name string, end bool, seen uint64) Domain {
+func (b *Table) Change(name string, end bool, seen uint64) Domain {
 	d := b.Domain(name)
 	if d.Evacuated != end || d.Revision != seen {
 		return d
@@ -53,7 +53,7 @@
 }
 
 // Domain returns a domain; one that was never evacuated has revision 0.
-func (b *Book) Domain(name string) Domain {
+func (b *Table) Domain(name string) Domain {
 	if d, ok := b.domains[name]; ok {
 		return d
 	}
@@ -61,7 +61,7 @@
 }
 
 // All returns the domains in the order of their names.
-func (b *Book) All() []Domain {
+func (b *Table) All() []Domain {
 	var out []Domain
 	for _, name := range slices.Sorted(maps.Keys(b.domains)) {
 		out = append(out, b.domains[name])
@@ -69,9 +69,9 @@
 	return out
 }
 
-// Known is what one process was told of evacuations; its zero value knows of none. It is not safe
+// View is what one process was told of evacuations; its zero value knows of none. It is not safe
 // for concurrent use.
-type Known struct {
+type View struct {
 	// domains are by name. Of a domain the highest revision holds, whoever tells it and when.
 	domains map[string]known
 }
@@ -82,9 +82,9 @@
 	since time.Time
 }
 
-// Take joins what one control instance tells of a domain, for how long it has known it; it reports
+// Merge joins what one control instance tells of a domain, for how long it has known it; it reports
 // whether the domain changed here.
-func (k *Known) Take(d Domain, age time.Duration, now time.Time) bool {
+func (k *View) Merge(d Domain, age time.Duration, now time.Time) bool {
 	before, ok := k.domains[d.Name]
 	since := now.Add(-age)
 	if ok && d.Revision < before.Revision {
@@ -105,7 +105,7 @@
 }
 
 // Revision returns the newest revision of any domain.
-func (k *Known) Revision() uint64 {
+func (k *View) Revision() uint64 {
 	newest := uint64(0)
 	for _, d := range k.domains {
 		newest = max(newest, d.Revision)
@@ -114,12 +114,12 @@
 }
 
 // Evacuated returns the domains that are evacuated, each with since when; nil for none.
-func (k *Known) Evacuated() map[string]time.Time { return k.which(true) }
+func (k *View) Evacuated() map[string]time.Time { return k.which(true) }
 
 // Ended returns the domains whose evacuation was ended, each with since when; nil for none.
-func (k *Known) Ended() map[string]time.Time { return k.which(false) }
+func (k *View) Ended() map[string]time.Time { return k.which(false) }
 
-func (k *Known) which(evacuated bool) map[string]time.Time {
+func (k *View) which(evacuated bool) map[string]time.Time {
 	var out map[string]time.Time
 	for name, d := range k.domains {
 		if d.Evacuated != evacuated {
--- a/internal/state/evacuation/evacuation_test.go
+++ b/internal/state/evacuation/evacuation_test.go
@@ -37,7 +37,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := &evacuation.Book{}
+			b := &evacuation.Table{}
 			for _, in := range c.changes {
 				b.Change(in.name, in.end, in.seen)
 			}
@@ -76,11 +76,11 @@
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 50 {
-		k := &evacuation.Known{}
+		k := &evacuation.View{}
 		order := slices.Clone(all)
 		random.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 		for _, in := range order {
-			k.Take(in.d, in.age, now)
+			k.Merge(in.d, in.age, now)
 		}
 		got := []any{k.Revision(), k.Evacuated(), k.Ended()}
 		want := []any{uint64(3), map[string]time.Time{"b": now.Add(-5 * time.Second)}, map[string]time.Time{"a": now.Add(-3 * time.Second)}}
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -40,7 +40,7 @@
 	// weights holds the highest weight version named for each model, and required the one
 	// before which no request may begin any more, which is never above it.
 	weights, required map[string]uint64
-	evacuations       *evacuation.Book
+	evacuations       *evacuation.Table
 }
 
 // Installed is a whole configuration as its operator sent it. It is a plain value;
@@ -60,7 +60,7 @@
 		weights:    map[string]uint64{},
 		required:   map[string]uint64{},
 
-		evacuations: &evacuation.Book{},
+		evacuations: &evacuation.Table{},
 	}
 }
 
@@ -168,7 +168,7 @@
 }
 
 // Evacuations returns the failure domains that were evacuated, which must not be changed.
-func (l *Ledger) Evacuations() *evacuation.Book { return l.evacuations }
+func (l *Ledger) Evacuations() *evacuation.Table { return l.evacuations }
 
 func (l *Ledger) apply(c *command.Apply) declared.Result {
 	d, faults := declared.Parse(c.File, c.Text)
--- a/internal/transport/fleet/evacuation.go
+++ b/internal/transport/fleet/evacuation.go
@@ -84,7 +84,7 @@
 	for _, in := range out.Evacuations {
 		d := evacuation.Domain{Name: in.Domain, Evacuated: in.Evacuated, Revision: in.Revision}
 		age := time.Duration(in.AgeMilliseconds) * time.Millisecond
-		if f.evacuations.Take(d, age, now) {
+		if f.evacuations.Merge(d, age, now) {
 			f.Log.Info().Str("event", "evacuation_in_force").Str("failure_domain", d.Name).Bool("evacuated", d.Evacuated).
 				Uint64("revision", d.Revision).Dur("age_ms", age).Str("from", address).Msg("")
 		}
--- a/internal/transport/fleet/follower.go
+++ b/internal/transport/fleet/follower.go
@@ -77,7 +77,7 @@
 	// named holds what any source told of the versions of weights that were named.
 	named map[string]weights.History
 	// evacuations holds what any source told of evacuated failure domains.
-	evacuations evacuation.Known
+	evacuations evacuation.View
 	contact     Contact
 	// outOfReach is what was last logged of contact.
 	outOfReach bool
