--- a/internal/coordination/keeping/book.go
+++ b/internal/coordination/keeping/book.go
@@ -64,37 +64,37 @@
 }
 
 // Next returns the cursor of the next batch.
-func (b *StoreState) Next() uint64 { return b.next }
+func (s *StoreState) Next() uint64 { return s.next }
 
 // Epoch returns the store's epoch.
-func (b *StoreState) Epoch() uint64 { return b.epoch }
+func (s *StoreState) Epoch() uint64 { return s.epoch }
 
 // ApplyBatch applies a batch; it reports whether the store's whole list is needed instead.
-func (b *StoreState) ApplyBatch(in Batch) (needList bool) {
-	if !b.listed || in.Epoch != b.epoch || in.Gap {
+func (s *StoreState) ApplyBatch(in Batch) (needList bool) {
+	if !s.listed || in.Epoch != s.epoch || in.Gap {
 		return true
 	}
-	b.next = in.Next
+	s.next = in.Next
 	for _, c := range in.Changes {
-		b.put(c.StoredPart)
+		s.put(c.StoredPart)
 	}
 	return false
 }
 
 // ApplyList replaces the state with a store's whole list, read at a clock time.
-func (b *StoreState) ApplyList(epoch, next uint64, held []StoredPart, clock time.Duration) {
-	if b.mayHaveActiveLeases(epoch) {
-		b.openAt = clock + FetchLease + clockMargin
+func (s *StoreState) ApplyList(epoch, next uint64, held []StoredPart, clock time.Duration) {
+	if s.mayHaveActiveLeases(epoch) {
+		s.openAt = clock + FetchLease + clockMargin
 	}
-	if epoch != b.epoch || b.retired == nil {
-		b.retired = map[Part]time.Duration{}
+	if epoch != s.epoch || s.retired == nil {
+		s.retired = map[Part]time.Duration{}
 	}
-	b.epoch = epoch
-	b.next = next
-	b.listed = true
-	b.parts = map[Part]int{}
+	s.epoch = epoch
+	s.next = next
+	s.listed = true
+	s.parts = map[Part]int{}
 	for _, h := range held {
-		b.put(h)
+		s.put(h)
 	}
 }
 
@@ -102,33 +102,33 @@
 // may still be fetched. Nothing may be saved under the same names until those leases have ended,
 // because a fetch would find a part that is half written. A new leader does not know what was
 // published before, unless an earlier leader has published that this epoch is open.
-func (b *StoreState) mayHaveActiveLeases(epoch uint64) bool {
-	if !b.listed {
-		return epoch != b.OpenEpoch
+func (s *StoreState) mayHaveActiveLeases(epoch uint64) bool {
+	if !s.listed {
+		return epoch != s.OpenEpoch
 	}
-	return epoch != b.epoch
+	return epoch != s.epoch
 }
 
-func (b *StoreState) put(h StoredPart) {
+func (s *StoreState) put(h StoredPart) {
 	if h.Tokens <= 0 {
-		delete(b.parts, h.Part)
-		delete(b.retired, h.Part)
+		delete(s.parts, h.Part)
+		delete(s.retired, h.Part)
 		return
 	}
-	b.parts[h.Part] = h.Tokens
+	s.parts[h.Part] = h.Tokens
 }
 
 // Fetchable returns the parts that may be fetched until FetchLease after the clock time, and
 // retires those of outdated weights.
-func (b *StoreState) Fetchable(clock time.Duration) map[Part]int {
-	out := make(map[Part]int, len(b.parts))
-	for part, tokens := range b.parts {
-		if !b.outdated(part) {
+func (s *StoreState) Fetchable(clock time.Duration) map[Part]int {
+	out := make(map[Part]int, len(s.parts))
+	for part, tokens := range s.parts {
+		if !s.outdated(part) {
 			out[part] = tokens
 			continue
 		}
-		if _, ok := b.retired[part]; !ok {
-			b.retired[part] = clock
+		if _, ok := s.retired[part]; !ok {
+			s.retired[part] = clock
 		}
 	}
 	return out
@@ -136,16 +136,16 @@
 
 // outdated reports whether a part was computed with weights that are no longer the newest. A part
 // whose salt has another format has no version, and is never freed.
-func (b *StoreState) outdated(part Part) bool {
+func (s *StoreState) outdated(part Part) bool {
 	model, version, ok := VersionOf(part.Salt)
-	return ok && version < b.NewestVersion(model)
+	return ok && version < s.NewestVersion(model)
 }
 
 // Freeable returns the parts whose space may be freed now.
-func (b *StoreState) Freeable(clock time.Duration) []Part {
+func (s *StoreState) Freeable(clock time.Duration) []Part {
 	var out []Part
-	for part, since := range b.retired {
-		if _, held := b.parts[part]; held && clock >= since+FetchLease+clockMargin {
+	for part, since := range s.retired {
+		if _, held := s.parts[part]; held && clock >= since+FetchLease+clockMargin {
 			out = append(out, part)
 		}
 	}
@@ -153,21 +153,21 @@
 }
 
 // CurrentOpenEpoch returns the store's epoch if it is open for saves, and 0 otherwise.
-func (b *StoreState) CurrentOpenEpoch(clock time.Duration) uint64 {
-	if clock < b.openAt {
+func (s *StoreState) CurrentOpenEpoch(clock time.Duration) uint64 {
+	if clock < s.openAt {
 		return 0
 	}
-	return b.epoch
+	return s.epoch
 }
 
 // FreeTokens returns how many tokens may be saved.
-func (b *StoreState) FreeTokens(clock time.Duration) int {
-	if clock < b.openAt {
+func (s *StoreState) FreeTokens(clock time.Duration) int {
+	if clock < s.openAt {
 		return 0
 	}
 	used := 0
-	for _, tokens := range b.parts {
+	for _, tokens := range s.parts {
 		used += (tokens + blockTokens - 1) / blockTokens * blockTokens
 	}
-	return max(b.Capacity-used, 0)
+	return max(s.Capacity-used, 0)
 }
--- a/internal/coordination/placement/arrivals_test.go
+++ b/internal/coordination/placement/arrivals_test.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// peakDomain is one failure domain of the largest planned deployment at its peak hour: a thirteenth
-// of 2.7 million contexts and of 1,500 requests per second, with 447 tokens per answer.
+// peakDomain is one failure domain of a large deployment in its peak hour: a thirteenth of 2.7 million
+// contexts and of 1,500 requests per second, with 447 tokens per answer. SHEDROCK_BENCH=letter
+// selects it.
 func peakDomain() scenario {
 	return scenario{
 		name: "letter's size, one failure domain", engines: 240, slots: 16, contexts: 208000, meanBlocks: 60, shortestGap: 60, longestGap: 9000,
--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -85,99 +85,99 @@
 
 // ApplyDeclared updates the planner to the declared state. Only upstreams and stores of the entry's
 // own region are used.
-func (b *Planner) ApplyDeclared(s *declared.State) {
-	b.superseded = s.AllSuperseded()
-	b.weights = routing.Weights{FirstToken: s.Control().FirstTokenWeight(), Recompute: s.Control().RecomputeWeight()}
+func (pl *Planner) ApplyDeclared(s *declared.State) {
+	pl.superseded = s.AllSuperseded()
+	pl.weights = routing.Weights{FirstToken: s.Control().FirstTokenWeight(), Recompute: s.Control().RecomputeWeight()}
 	present := map[string]bool{}
-	for _, u := range s.UpstreamsNear(b.domain) {
+	for _, u := range s.UpstreamsNear(pl.domain) {
 		present[u.Name()] = true
-		b.applyUpstream(u, s.Evacuated(u.FailureDomain()))
+		pl.applyUpstream(u, s.Evacuated(u.FailureDomain()))
 	}
-	for i, name := range b.names {
+	for i, name := range pl.names {
 		if !present[name] {
-			b.upstreams[i].NoteLeaving(true)
-			b.upstreams[i].Model = ""
+			pl.upstreams[i].NoteLeaving(true)
+			pl.upstreams[i].Model = ""
 		}
 	}
-	b.applyStores(s)
-	b.applyTeams(s)
+	pl.applyStores(s)
+	pl.applyTeams(s)
 }
 
-func (b *Planner) applyUpstream(u declared.Upstream, evacuated bool) {
-	n, ok := b.numbers[u.Name()]
+func (pl *Planner) applyUpstream(u declared.Upstream, evacuated bool) {
+	n, ok := pl.numbers[u.Name()]
 	if !ok {
-		n = len(b.names)
-		b.numbers[u.Name()] = n
-		b.names = append(b.names, u.Name())
-		b.addresses = append(b.addresses, "")
-		b.upstreams = append(b.upstreams, routing.Upstream{})
-		b.scores = append(b.scores, 0)
+		n = len(pl.names)
+		pl.numbers[u.Name()] = n
+		pl.names = append(pl.names, u.Name())
+		pl.addresses = append(pl.addresses, "")
+		pl.upstreams = append(pl.upstreams, routing.Upstream{})
+		pl.scores = append(pl.scores, 0)
 	}
-	known := &b.upstreams[n]
-	if b.addresses[n] != u.Address() {
-		b.addresses[n] = u.Address()
+	known := &pl.upstreams[n]
+	if pl.addresses[n] != u.Address() {
+		pl.addresses[n] = u.Address()
 		known.Version = ""
 		known.ClearBackoff()
-		b.directory.ForgetUpstream(n)
+		pl.directory.ForgetUpstream(n)
 	}
 	known.Slots = u.Slots()
 	known.PrefillRate = u.PrefillRate()
 	known.LinkRate = u.LinkRate()
 	known.Model = u.Model()
-	known.SameDomain = u.FailureDomain() == b.domain
+	known.SameDomain = u.FailureDomain() == pl.domain
 	known.NoteLeaving(u.Leaving() || evacuated)
 }
 
-func (b *Planner) applyStores(state *declared.State) {
-	for i := range b.stores {
-		b.stores[i].declared = false
+func (pl *Planner) applyStores(state *declared.State) {
+	for i := range pl.stores {
+		pl.stores[i].declared = false
 	}
 	for _, s := range state.Stores() {
-		if !state.SameRegion(s.FailureDomain(), b.domain) {
+		if !state.SameRegion(s.FailureDomain(), pl.domain) {
 			continue
 		}
-		n := b.storeNumber(s.Address())
-		known := &b.stores[n]
+		n := pl.storeNumber(s.Address())
+		known := &pl.stores[n]
 		known.name = s.Name()
 		known.linkRate = s.LinkRate()
-		known.sameDomain = s.FailureDomain() == b.domain
+		known.sameDomain = s.FailureDomain() == pl.domain
 		known.declared = true
 	}
 }
 
-func (b *Planner) storeNumber(address string) int {
-	for i, s := range b.stores {
+func (pl *Planner) storeNumber(address string) int {
+	for i, s := range pl.stores {
 		if s.address == address {
 			return i
 		}
 	}
-	b.stores = append(b.stores, store{address: address})
-	return len(b.stores) - 1
+	pl.stores = append(pl.stores, store{address: address})
+	return len(pl.stores) - 1
 }
 
 // Upstream returns the upstream with the given number, to record events of its runs.
-func (b *Planner) Upstream(n int) *routing.Upstream { return &b.upstreams[n] }
+func (pl *Planner) Upstream(n int) *routing.Upstream { return &pl.upstreams[n] }
 
 // UpstreamNumber returns the number of an upstream.
-func (b *Planner) UpstreamNumber(name string) (int, bool) {
-	n, ok := b.numbers[name]
+func (pl *Planner) UpstreamNumber(name string) (int, bool) {
+	n, ok := pl.numbers[name]
 	return n, ok
 }
 
 // UpstreamCount returns how many upstreams have ever been declared.
-func (b *Planner) UpstreamCount() int { return len(b.upstreams) }
+func (pl *Planner) UpstreamCount() int { return len(pl.upstreams) }
 
 // Name returns an upstream's name.
-func (b *Planner) Name(n int) string { return b.names[n] }
+func (pl *Planner) Name(n int) string { return pl.names[n] }
 
 // Address returns an upstream's "ip:port".
-func (b *Planner) Address(n int) string { return b.addresses[n] }
+func (pl *Planner) Address(n int) string { return pl.addresses[n] }
 
 // Directory returns the planner's directory.
-func (b *Planner) Directory() *directory.Directory { return b.directory }
+func (pl *Planner) Directory() *directory.Directory { return pl.directory }
 
 // Weights returns the deployment's declared weights.
-func (b *Planner) Weights() routing.Weights { return b.weights }
+func (pl *Planner) Weights() routing.Weights { return pl.weights }
 
 // ServingVersion returns the weight version under which a new prompt should run. That is the
 // current version once enough upstreams serve it, and the previous one until then, if more
@@ -186,15 +186,15 @@
 // count: not those that are leaving, in backoff, ejected or already tried. During a rollout both
 // versions are served, each to its own prompts; their contexts never mix, because the version is
 // part of every key.
-func (b *Planner) ServingVersion(m declared.Model, tried []int, now time.Time) string {
+func (pl *Planner) ServingVersion(m declared.Model, tried []int, now time.Time) string {
 	current := m.WeightVersion()
-	previous, ok := b.superseded[m.Name()]
+	previous, ok := pl.superseded[m.Name()]
 	if !ok {
 		return current
 	}
 	counts := map[string]int{}
-	for i := range b.upstreams {
-		u := &b.upstreams[i]
+	for i := range pl.upstreams {
+		u := &pl.upstreams[i]
 		if u.Model == m.Name() && u.Version != "" && !u.Leaving() && !u.Ejected(now) && !u.InBackoff(now) && !slices.Contains(tried, i) {
 			counts[u.Version]++
 		}
@@ -239,83 +239,83 @@
 }
 
 // Place returns the plan for a prompt; ok is false if no upstream may run it.
-func (b *Planner) Place(p Prompt, now time.Time) (Plan, bool) {
+func (pl *Planner) Place(p Prompt, now time.Time) (Plan, bool) {
 	if p.Hints != nil {
-		b.useHints(p.Hints)
+		pl.useHints(p.Hints)
 	} else {
-		b.directory.Match(p.Keys, len(b.upstreams), &b.found)
+		pl.directory.Match(p.Keys, len(pl.upstreams), &pl.found)
 	}
-	b.dropExpired(now)
-	stored, rate, storeNumber := b.fetchable(now)
+	pl.dropExpired(now)
+	stored, rate, storeNumber := pl.fetchable(now)
 	q := routing.Prompt{
 		Model:         p.Model.Name(),
 		Version:       p.Version,
 		Tokens:        p.Tokens,
-		Cached:        b.found.Cached,
+		Cached:        pl.found.Cached,
 		BlockTokens:   prefix.BlockTokens,
 		Stored:        stored * prefix.BlockTokens,
 		BytesPerToken: float64(p.Model.BytesPerToken()),
 		StoreRate:     rate,
-		Weights:       b.weights,
+		Weights:       pl.weights,
 		Tried:         p.Tried,
-		Random:        b.random.Uint64(),
-		Scores:        b.scores[:len(b.upstreams)],
+		Random:        pl.random.Uint64(),
+		Scores:        pl.scores[:len(pl.upstreams)],
 	}
-	plan, ok := routing.Choose(b.upstreams, &q, now)
+	plan, ok := routing.Choose(pl.upstreams, &q, now)
 	if !ok {
 		return Plan{}, false
 	}
-	out := Plan{Plan: plan, Name: b.names[plan.Upstream], Address: b.addresses[plan.Upstream]}
-	out.Cached = int(b.found.Cached[plan.Upstream])
-	out.CachedAsOf = b.found.Used[plan.Upstream]
+	out := Plan{Plan: plan, Name: pl.names[plan.Upstream], Address: pl.addresses[plan.Upstream]}
+	out.Cached = int(pl.found.Cached[plan.Upstream])
+	out.CachedAsOf = pl.found.Used[plan.Upstream]
 	out.StoredBlocks = stored
 	if stored > 0 {
-		out.StoredAt = b.stores[storeNumber].address
+		out.StoredAt = pl.stores[storeNumber].address
 	}
 	if plan.Fetch {
-		out.Store = b.stores[storeNumber].address
+		out.Store = pl.stores[storeNumber].address
 		out.FetchBlocks = stored
-		out.Refs = b.refs()
+		out.Refs = pl.refs()
 	}
 	return out, true
 }
 
 // BackoffRemaining returns the shortest time until an upstream in backoff accepts the prompt; ok is
 // false if no upstream is excluded by backoff alone.
-func (b *Planner) BackoffRemaining(p Prompt, now time.Time) (left time.Duration, ok bool) {
+func (pl *Planner) BackoffRemaining(p Prompt, now time.Time) (left time.Duration, ok bool) {
 	q := routing.Prompt{Model: p.Model.Name(), Version: p.Version, Tried: p.Tried}
-	return routing.BackoffRemaining(b.upstreams, &q, now)
+	return routing.BackoffRemaining(pl.upstreams, &q, now)
 }
 
 // fetchable returns how many leading blocks one store holds, and the bandwidth that a fetch from it
 // would get now.
-func (b *Planner) fetchable(now time.Time) (blocks int, rate float64, storeNumber int) {
-	if b.found.Stored == 0 {
+func (pl *Planner) fetchable(now time.Time) (blocks int, rate float64, storeNumber int) {
+	if pl.found.Stored == 0 {
 		return 0, 0, 0
 	}
-	storeNumber = int(b.found.Objects[0].Store) - 1
-	for _, o := range b.found.Objects {
+	storeNumber = int(pl.found.Objects[0].Store) - 1
+	for _, o := range pl.found.Objects {
 		if int(o.Store)-1 != storeNumber {
 			return 0, 0, 0
 		}
 	}
-	s := &b.stores[storeNumber]
+	s := &pl.stores[storeNumber]
 	if !s.declared {
 		return 0, 0, 0
 	}
-	return b.found.Stored, s.rate(now) / float64(s.activeFetches+1), storeNumber
+	return pl.found.Stored, s.rate(now) / float64(s.activeFetches+1), storeNumber
 }
 
-func (b *Planner) refs() []StoredObject {
+func (pl *Planner) refs() []StoredObject {
 	var refs []StoredObject
-	for i, o := range b.found.Objects {
-		refs = append(refs, *b.storedObject(o, int(b.found.Ends[i])))
+	for i, o := range pl.found.Objects {
+		refs = append(refs, *pl.storedObject(o, int(pl.found.Ends[i])))
 	}
 	return refs
 }
 
 // BeginFetch records the start of a fetch that a caller waits for.
-func (b *Planner) BeginFetch(address string) { b.stores[b.storeNumber(address)].activeFetches++ }
+func (pl *Planner) BeginFetch(address string) { pl.stores[pl.storeNumber(address)].activeFetches++ }
 
 // FetchResult is the result of a fetch. It is a plain value.
 type FetchResult struct {
@@ -333,8 +333,8 @@
 // EndFetch records the end of a fetch of a plan's objects; keys are the prompt's. It updates the
 // plan to what the store really holds. The returned notes remove the hints to objects that the
 // store refused.
-func (b *Planner) EndFetch(p *Plan, keys []prefix.Key, f FetchResult, now time.Time) []Note {
-	s := &b.stores[b.storeNumber(p.Store)]
+func (pl *Planner) EndFetch(p *Plan, keys []prefix.Key, f FetchResult, now time.Time) []Note {
+	s := &pl.stores[pl.storeNumber(p.Store)]
 	s.activeFetches--
 	s.observe(f.Bytes, f.Took, now)
 	if f.Aborted {
--- a/internal/coordination/placement/hints.go
+++ b/internal/coordination/placement/hints.go
@@ -69,39 +69,39 @@
 }
 
 // Find returns what this planner's directory knows about a prompt.
-func (b *Planner) Find(keys []prefix.Key) *Hints {
-	b.directory.Match(keys, len(b.upstreams), &b.found)
+func (pl *Planner) Find(keys []prefix.Key) *Hints {
+	pl.directory.Match(keys, len(pl.upstreams), &pl.found)
 	h := &Hints{}
-	for n, blocks := range b.found.Cached[:len(b.upstreams)] {
+	for n, blocks := range pl.found.Cached[:len(pl.upstreams)] {
 		if blocks > 0 {
-			h.Cached = append(h.Cached, CachedAt{b.names[n], int(blocks), b.found.Used[n]})
+			h.Cached = append(h.Cached, CachedAt{pl.names[n], int(blocks), pl.found.Used[n]})
 		}
 	}
-	for i, o := range b.found.Objects {
-		h.Objects = append(h.Objects, *b.storedObject(o, int(b.found.Ends[i])))
+	for i, o := range pl.found.Objects {
+		h.Objects = append(h.Objects, *pl.storedObject(o, int(pl.found.Ends[i])))
 	}
 	return h
 }
 
 // useHints uses another entry's hints instead of a match in the planner's own directory.
-func (b *Planner) useHints(h *Hints) {
-	b.directory.Match(nil, len(b.upstreams), &b.found)
+func (pl *Planner) useHints(h *Hints) {
+	pl.directory.Match(nil, len(pl.upstreams), &pl.found)
 	for _, c := range h.Cached {
-		if n, ok := b.numbers[c.Upstream]; ok {
-			b.found.Add(n, c.Blocks, c.Used)
+		if n, ok := pl.numbers[c.Upstream]; ok {
+			pl.found.Add(n, c.Blocks, c.Used)
 		}
 	}
 	for _, k := range h.Objects {
-		n := b.storeNumber(k.Store)
-		b.found.Objects = append(b.found.Objects, b.object(n, k))
-		b.found.Ends = append(b.found.Ends, int32(k.End))
-		b.found.Stored = k.End
+		n := pl.storeNumber(k.Store)
+		pl.found.Objects = append(pl.found.Objects, pl.object(n, k))
+		pl.found.Ends = append(pl.found.Ends, int32(k.End))
+		pl.found.Stored = k.End
 	}
 }
 
-func (b *Planner) object(store int, k StoredObject) directory.Object {
+func (pl *Planner) object(store int, k StoredObject) directory.Object {
 	return directory.Object{
-		Store: uint16(store + 1), Incarnation: b.incarnation(store, k.Incarnation),
+		Store: uint16(store + 1), Incarnation: pl.incarnation(store, k.Incarnation),
 		Blocks: uint32(k.Blocks), Object: k.Object, Generation: k.Generation,
 	}
 }
@@ -109,24 +109,24 @@
 // Apply applies a note to this planner's directory. It returns the objects that are no longer
 // needed and can be freed: the one that the note's object replaces, and those of contexts that were
 // evicted from the directory.
-func (b *Planner) Apply(n Note, now time.Time) (obsolete []StoredObject) {
+func (pl *Planner) Apply(n Note, now time.Time) (obsolete []StoredObject) {
 	if n.Refused {
-		b.directory.ForgetObject(n.Key)
+		pl.directory.ForgetObject(n.Key)
 		return nil
 	}
-	if number, ok := b.numbers[n.Upstream]; ok {
-		b.directory.NoteRun(n.Key, n.Blocks, number, uint32(now.Unix()))
+	if number, ok := pl.numbers[n.Upstream]; ok {
+		pl.directory.NoteRun(n.Key, n.Blocks, number, uint32(now.Unix()))
 	}
 	if n.Object != nil {
-		o := b.object(b.storeNumber(n.Object.Store), *n.Object)
-		old, had := b.directory.Stored(n.Key)
-		b.directory.NoteStored(n.Key, n.Parent, n.Blocks, b.teamNumber(n.Team), o)
+		o := pl.object(pl.storeNumber(n.Object.Store), *n.Object)
+		old, had := pl.directory.Stored(n.Key)
+		pl.directory.NoteStored(n.Key, n.Parent, n.Blocks, pl.teamNumber(n.Team), o)
 		if had && old != o {
-			obsolete = append(obsolete, *b.storedObject(old, n.Blocks))
+			obsolete = append(obsolete, *pl.storedObject(old, n.Blocks))
 		}
 	}
-	for _, dropped := range b.directory.Dropped() {
-		obsolete = append(obsolete, *b.storedObject(dropped, 0))
+	for _, dropped := range pl.directory.Dropped() {
+		obsolete = append(obsolete, *pl.storedObject(dropped, 0))
 	}
 	return obsolete
 }
@@ -134,18 +134,18 @@
 // ApplyListed adds an object that a store listed to this planner's directory, unless a newer one is
 // known. It returns the objects that are no longer needed: the listed one, if it was replaced, or
 // those that it replaces.
-func (b *Planner) ApplyListed(n Note, now time.Time) (obsolete []StoredObject) {
-	old, had := b.directory.Stored(n.Key)
-	if !had || !b.stores[old.Store-1].declared {
-		return b.Apply(n, now)
+func (pl *Planner) ApplyListed(n Note, now time.Time) (obsolete []StoredObject) {
+	old, had := pl.directory.Stored(n.Key)
+	if !had || !pl.stores[old.Store-1].declared {
+		return pl.Apply(n, now)
 	}
-	known := b.storedObject(old, n.Blocks)
+	known := pl.storedObject(old, n.Blocks)
 	switch {
 	case known.Store != n.Object.Store:
 		return []StoredObject{*n.Object}
 	case known.Incarnation != n.Object.Incarnation || known.Generation < n.Object.Generation:
 		// The store has restarted empty since, or the note of the replacement was lost.
-		return b.Apply(n, now)
+		return pl.Apply(n, now)
 	case known.Generation > n.Object.Generation:
 		return []StoredObject{*n.Object}
 	}
@@ -154,8 +154,8 @@
 
 // storedObject converts an object to the form that is the same for every entry; end is the number
 // of blocks of a prompt up to its end.
-func (b *Planner) storedObject(o directory.Object, end int) *StoredObject {
-	s := &b.stores[o.Store-1]
+func (pl *Planner) storedObject(o directory.Object, end int) *StoredObject {
+	s := &pl.stores[o.Store-1]
 	return &StoredObject{
 		Store: s.address, Incarnation: s.incarnations[o.Incarnation], Object: o.Object, Generation: o.Generation,
 		Blocks: int(o.Blocks), End: end,
--- a/internal/coordination/placement/keep.go
+++ b/internal/coordination/placement/keep.go
@@ -44,39 +44,39 @@
 // PlanCopy decides whether the context of a finished prompt is copied to a store now; p.Plan is the
 // plan under which it ran. Fetches that callers wait for take precedence over background copies:
 // while one is in flight on a store's link, or the link is congested, the copy is postponed.
-func (b *Planner) PlanCopy(p PostponedCopy, now time.Time) (Copy, bool) {
-	c, store, ok := b.buildCopy(p)
+func (pl *Planner) PlanCopy(p PostponedCopy, now time.Time) (Copy, bool) {
+	c, store, ok := pl.buildCopy(p)
 	if !ok {
 		return Copy{}, false
 	}
-	s := &b.stores[store]
+	s := &pl.stores[store]
 	if s.busy(now) {
-		b.postpone(p)
+		pl.postpone(p)
 		return Copy{}, false
 	}
 	s.activeCopies++
 	return c, true
 }
 
-func (b *Planner) postpone(p PostponedCopy) {
-	b.postponed = append(b.postponed, p)
-	if len(b.postponed) > maxPostponed {
-		b.postponed = append([]PostponedCopy(nil), b.postponed[1:]...)
+func (pl *Planner) postpone(p PostponedCopy) {
+	pl.postponed = append(pl.postponed, p)
+	if len(pl.postponed) > maxPostponed {
+		pl.postponed = append([]PostponedCopy(nil), pl.postponed[1:]...)
 	}
 }
 
 // NextCopy returns the newest postponed copy whose store's link is free now, because the newest is
 // the most likely to be still in its engine's cache.
-func (b *Planner) NextCopy(now time.Time) (PostponedCopy, Copy, bool) {
-	for i := len(b.postponed) - 1; i >= 0; i-- {
-		p := b.postponed[i]
-		c, store, ok := b.buildCopy(p)
-		if ok && b.stores[store].busy(now) {
+func (pl *Planner) NextCopy(now time.Time) (PostponedCopy, Copy, bool) {
+	for i := len(pl.postponed) - 1; i >= 0; i-- {
+		p := pl.postponed[i]
+		c, store, ok := pl.buildCopy(p)
+		if ok && pl.stores[store].busy(now) {
 			continue
 		}
-		b.postponed = append(b.postponed[:i:i], b.postponed[i+1:]...)
+		pl.postponed = append(pl.postponed[:i:i], pl.postponed[i+1:]...)
 		if ok {
-			b.stores[store].activeCopies++
+			pl.stores[store].activeCopies++
 			return p, c, true
 		}
 	}
@@ -84,22 +84,22 @@
 }
 
 // buildCopy returns the copy to make for a finished prompt, and the store to copy to.
-func (b *Planner) buildCopy(p PostponedCopy) (c Copy, store int, ok bool) {
+func (pl *Planner) buildCopy(p PostponedCopy) (c Copy, store int, ok bool) {
 	if len(p.Keys) < minCopyBlocks {
 		return Copy{}, 0, false
 	}
-	n, ok := b.storeForCopy(p.Keys[0], p.Plan)
+	n, ok := pl.storeForCopy(p.Keys[0], p.Plan)
 	if !ok {
 		return Copy{}, 0, false
 	}
 	kept := 0
-	if b.stores[n].address == p.Plan.StoredAt {
+	if pl.stores[n].address == p.Plan.StoredAt {
 		kept = p.Plan.StoredBlocks
 	}
 	if len(p.Keys)-kept < minCopyBlocks {
 		return Copy{}, 0, false
 	}
-	c = Copy{Store: b.stores[n].address, Blocks: len(p.Keys) - kept}
+	c = Copy{Store: pl.stores[n].address, Blocks: len(p.Keys) - kept}
 	if kept > 0 {
 		c.Parent = p.Keys[kept-1]
 	}
@@ -116,11 +116,11 @@
 // Otherwise contexts are distributed over the stores of the entry's own failure domain, or over all
 // stores if it has none, by rendezvous hashing of their first key, so that every entry of the
 // domain chooses the same store.
-func (b *Planner) storeForCopy(first prefix.Key, p Plan) (int, bool) {
+func (pl *Planner) storeForCopy(first prefix.Key, p Plan) (int, bool) {
 	best, bestNear := -1, false
 	var bestWeight uint64
-	for i := range b.stores {
-		s := &b.stores[i]
+	for i := range pl.stores {
+		s := &pl.stores[i]
 		if !s.declared {
 			continue
 		}
@@ -148,8 +148,8 @@
 // EndCopy records the end of a copy of the context with the given key and number of blocks; full is
 // true if the store had no space. If object is not nil, the copy succeeded, and the returned note
 // announces the object.
-func (b *Planner) EndCopy(c Copy, key prefix.Key, blocks int, object *StoredObject, full bool, now time.Time) (Note, bool) {
-	s := &b.stores[b.storeNumber(c.Store)]
+func (pl *Planner) EndCopy(c Copy, key prefix.Key, blocks int, object *StoredObject, full bool, now time.Time) (Note, bool) {
+	s := &pl.stores[pl.storeNumber(c.Store)]
 	s.activeCopies--
 	if full {
 		s.fullUntil = now.Add(fullBackoff)
@@ -162,15 +162,15 @@
 
 // incarnation returns the number of a store's incarnation. When a new one is seen, the hints to the
 // earlier ones are removed, because the store starts empty and their objects are gone.
-func (b *Planner) incarnation(n int, name string) uint16 {
-	s := &b.stores[n]
+func (pl *Planner) incarnation(n int, name string) uint16 {
+	s := &pl.stores[n]
 	for i, known := range s.incarnations {
 		if known == name {
 			return uint16(i)
 		}
 	}
 	for i := range s.incarnations {
-		b.directory.ForgetStore(uint16(n+1), uint16(i))
+		pl.directory.ForgetStore(uint16(n+1), uint16(i))
 	}
 	s.incarnations = append(s.incarnations, name)
 	return uint16(len(s.incarnations) - 1)
--- a/internal/coordination/placement/replay_test.go
+++ b/internal/coordination/placement/replay_test.go
@@ -51,11 +51,11 @@
 func policies() []policy { return []policy{shedrock, roundRobin, leastLoad, affinity, lruKeeping} }
 
 const (
-	entries     = 8
-	reportEvery = 0.5
-	newBlocks   = 4 // each arrival adds a question and an answer to the context
-	tokenTime   = 0.031
-	warmUpShare = 0.4
+	entries               = 8
+	reportIntervalSeconds = 0.5
+	newBlocks             = 4 // each arrival adds a question and an answer to the context
+	secondsPerToken       = 0.031
+	warmUpShare           = 0.4
 )
 
 // simulation is the state of one replay.
@@ -140,10 +140,10 @@
 	return time.Unix(0, 0).Add(time.Duration(at * float64(time.Second)))
 }
 
-// report updates the reported loads every reportEvery seconds, so that they lag as in a real
+// report updates the reported loads every reportIntervalSeconds, so that they lag as in a real
 // deployment.
 func (w *simulation) report(now float64) {
-	if now-w.reportedAt < reportEvery {
+	if now-w.reportedAt < reportIntervalSeconds {
 		return
 	}
 	w.reportedAt = now
@@ -192,7 +192,7 @@
 }
 
 func (w *simulation) serve(n int, a arrival, ready float64, recomputed int) (first, end float64) {
-	decode := w.random.ExpFloat64() * w.outTokens * tokenTime
+	decode := w.random.ExpFloat64() * w.outTokens * secondsPerToken
 	first, end = w.simEngines[n].start(ready, float64(recomputed*prefix.BlockTokens)/w.prefillRate, decode)
 	w.finish(a, recomputed, first)
 	return first, end
--- a/internal/coordination/placement/retention.go
+++ b/internal/coordination/placement/retention.go
@@ -54,28 +54,28 @@
 }
 
 // dropExpired clears the hints to contexts that are older than their engine's retention.
-func (b *Planner) dropExpired(now time.Time) {
+func (pl *Planner) dropExpired(now time.Time) {
 	second := float64(now.Unix())
-	for _, n := range b.found.Touched() {
-		age := second - float64(b.found.Used[n])
-		r, ok := b.retentions[b.upstreams[n].Model]
+	for _, n := range pl.found.Touched() {
+		age := second - float64(pl.found.Used[n])
+		r, ok := pl.retentions[pl.upstreams[n].Model]
 		if ok && !r.retains(age, now) {
-			b.found.Cached[n] = 0
+			pl.found.Cached[n] = 0
 		}
 	}
 }
 
 // NoteReuse records how many blocks an engine actually reused for a plan.
-func (b *Planner) NoteReuse(p Plan, blocks int, now time.Time) {
+func (pl *Planner) NoteReuse(p Plan, blocks int, now time.Time) {
 	if p.Cached == 0 || p.Fetch {
 		return
 	}
 	age := float64(now.Unix()) - float64(p.CachedAsOf)
-	model := b.upstreams[p.Upstream].Model
-	r, ok := b.retentions[model]
+	model := pl.upstreams[p.Upstream].Model
+	r, ok := pl.retentions[model]
 	if !ok {
 		r = &retention{}
-		b.retentions[model] = r
+		pl.retentions[model] = r
 	}
 	r.update(age, blocks >= p.Cached, now)
 }
--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/book.go
@@ -44,52 +44,52 @@
 
 // New returns an empty set.
 func New(seed uint64) *FactSet {
-	b := &FactSet{
+	s := &FactSet{
 		seed: seed, facts: map[Key]*entry{}, ends: map[Digest][]Key{}, endCounts: map[registry.Incarnation]int{},
 		confirmed: map[registry.Incarnation]bool{}, running: map[Digest]int{}, lastTry: map[Digest]time.Time{},
 	}
-	b.log.Newest = func(k Key) uint64 {
-		if e := b.facts[k]; e != nil {
+	s.log.Newest = func(k Key) uint64 {
+		if e := s.facts[k]; e != nil {
 			return e.change
 		}
 		return 0
 	}
-	return b
+	return s
 }
 
 // Merge adds a fact to the set; it reports whether the fact was new.
-func (b *FactSet) Merge(fact Fact) bool {
+func (s *FactSet) Merge(fact Fact) bool {
 	k := fact.Key()
-	known, ok := b.facts[k]
-	if ok && !b.replaces(fact, known.fact) || b.isDuplicate(fact) {
+	known, ok := s.facts[k]
+	if ok && !s.replaces(fact, known.fact) || s.isDuplicate(fact) {
 		return false
 	}
-	if !ok && len(b.facts) >= maxFacts && !b.evictFor(fact) {
+	if !ok && len(s.facts) >= maxFacts && !s.evictFor(fact) {
 		return false
 	}
 	if _, ended := fact.(InstanceEnded); ended && !ok {
-		b.ends[k.digest] = append(b.ends[k.digest], k)
-		b.endCounts[k.incarnation]++
+		s.ends[k.digest] = append(s.ends[k.digest], k)
+		s.endCounts[k.incarnation]++
 	}
 	if !ok {
-		b.checksum ^= k.checksum()
+		s.checksum ^= k.checksum()
 	}
 	e := &entry{fact: fact}
-	b.facts[k] = e
-	e.change = b.log.Add(k)
+	s.facts[k] = e
+	e.change = s.log.Add(k)
 	return true
 }
 
 // isDuplicate reports whether an end is known under another identity. If instances do not report
 // when they started, each entry that sees an end makes up an identity for the incarnation. A
 // request that was sent after the known end was seen ran in another incarnation.
-func (b *FactSet) isDuplicate(fact Fact) bool {
+func (s *FactSet) isDuplicate(fact Fact) bool {
 	end, ok := fact.(InstanceEnded)
 	if !ok || end.Incarnation.Start >= 0 {
 		return false
 	}
-	return slices.ContainsFunc(b.ends[end.Digest], func(k Key) bool {
-		other := b.facts[k].fact.(InstanceEnded)
+	return slices.ContainsFunc(s.ends[end.Digest], func(k Key) bool {
+		other := s.facts[k].fact.(InstanceEnded)
 		return k.incarnation != end.Incarnation && k.incarnation.ID == end.Incarnation.ID && k.incarnation.Start < 0 && !end.Sent.After(other.At) && !other.Sent.After(end.At)
 	})
 }
@@ -97,21 +97,21 @@
 // replaces reports whether a fact replaces an older one with the same key. Of an instance's end,
 // the first report is kept unless it has been refuted since, because later reports come from slower
 // signs of the end.
-func (b *FactSet) replaces(newer, older Fact) bool {
+func (s *FactSet) replaces(newer, older Fact) bool {
 	if e, ended := older.(InstanceEnded); ended {
-		return b.refuted(e) && newer.When().After(e.At)
+		return s.refuted(e) && newer.When().After(e.At)
 	}
 	return newer.When().After(older.When().Add(TimeTolerance))
 }
 
 // Change returns the number of the latest change.
-func (b *FactSet) Change() uint64 { return b.log.Last() }
+func (s *FactSet) Change() uint64 { return s.log.Last() }
 
 // After iterates over the facts that changed after the given change, oldest first.
-func (b *FactSet) After(change uint64) iter.Seq2[uint64, Fact] {
+func (s *FactSet) After(change uint64) iter.Seq2[uint64, Fact] {
 	return func(yield func(uint64, Fact) bool) {
-		for number, k := range b.log.After(change) {
-			if !yield(number, b.facts[k].fact) {
+		for number, k := range s.log.After(change) {
+			if !yield(number, s.facts[k].fact) {
 				return
 			}
 		}
@@ -120,31 +120,31 @@
 
 // Since returns up to limit facts that changed after the given change, oldest first, and the number
 // of the last change that is included.
-func (b *FactSet) Since(change uint64, limit int) (facts []Fact, last uint64) {
-	for number, f := range b.After(change) {
+func (s *FactSet) Since(change uint64, limit int) (facts []Fact, last uint64) {
+	for number, f := range s.After(change) {
 		if len(facts) == limit {
 			return facts, last
 		}
 		facts = append(facts, f)
 		last = number
 	}
-	return facts, b.Change()
+	return facts, s.Change()
 }
 
 // IsSuspected reports whether any end is known for a request.
-func (b *FactSet) IsSuspected(d Digest) bool { return len(b.ends[d]) > 0 }
+func (s *FactSet) IsSuspected(d Digest) bool { return len(s.ends[d]) > 0 }
 
 // PresumedEnded reports whether an incarnation is presumed to have ended, without that being
 // confirmed.
-func (b *FactSet) PresumedEnded(incarnation registry.Incarnation) bool {
-	return b.endCounts[incarnation] > 0 && !b.confirmed[incarnation]
+func (s *FactSet) PresumedEnded(incarnation registry.Incarnation) bool {
+	return s.endCounts[incarnation] > 0 && !s.confirmed[incarnation]
 }
 
 // UnconfirmedEnds returns the ends that are not confirmed.
-func (b *FactSet) UnconfirmedEnds() []InstanceEnded {
+func (s *FactSet) UnconfirmedEnds() []InstanceEnded {
 	var out []InstanceEnded
-	for _, e := range b.facts {
-		if end, ok := e.fact.(InstanceEnded); ok && !b.confirmed[end.Incarnation] {
+	for _, e := range s.facts {
+		if end, ok := e.fact.(InstanceEnded); ok && !s.confirmed[end.Incarnation] {
 			out = append(out, end)
 		}
 	}
@@ -153,94 +153,94 @@
 
 // ConfirmEnd records that an incarnation has certainly ended, because another one has its ID or
 // address.
-func (b *FactSet) ConfirmEnd(incarnation registry.Incarnation) {
-	if b.endCounts[incarnation] > 0 {
-		b.confirmed[incarnation] = true
+func (s *FactSet) ConfirmEnd(incarnation registry.Incarnation) {
+	if s.endCounts[incarnation] > 0 {
+		s.confirmed[incarnation] = true
 	}
 }
 
 // refuted reports whether the instance answered a request that was sent after its end was seen.
 // That happens if something in between refused its connections.
-func (b *FactSet) refuted(e InstanceEnded) bool {
-	response, ok := b.facts[Key{incarnation: e.Incarnation}]
-	return ok && !b.confirmed[e.Incarnation] && response.fact.When().After(e.At)
+func (s *FactSet) refuted(e InstanceEnded) bool {
+	response, ok := s.facts[Key{incarnation: e.Incarnation}]
+	return ok && !s.confirmed[e.Incarnation] && response.fact.When().After(e.At)
 }
 
 // Sweep removes the facts that are older than factRetention and do not concern a held request.
-func (b *FactSet) Sweep(entries int, now time.Time) {
-	for k, e := range b.facts {
-		if now.Sub(e.fact.When()) > factRetention && !b.isHeld(k, entries, now) {
-			b.remove(k)
+func (s *FactSet) Sweep(entries int, now time.Time) {
+	for k, e := range s.facts {
+		if now.Sub(e.fact.When()) > factRetention && !s.isHeld(k, entries, now) {
+			s.remove(k)
 		}
 	}
-	for d, at := range b.lastTry {
+	for d, at := range s.lastTry {
 		if now.Sub(at) > factRetention {
-			delete(b.lastTry, d)
+			delete(s.lastTry, d)
 		}
 	}
 }
 
 // isHeld reports whether a fact is an end under a held request whose pause has not been over for
 // factRetention.
-func (b *FactSet) isHeld(k Key, entries int, now time.Time) bool {
+func (s *FactSet) isHeld(k Key, entries int, now time.Time) bool {
 	if k.digest == (Digest{}) {
 		return false
 	}
-	c := b.Status(k.digest, entries, now)
+	c := s.Status(k.digest, entries, now)
 	return c.Held && now.Sub(c.Until) < factRetention
 }
 
-func (b *FactSet) remove(k Key) {
-	_, ended := b.facts[k].fact.(InstanceEnded)
-	delete(b.facts, k)
-	b.checksum ^= k.checksum()
+func (s *FactSet) remove(k Key) {
+	_, ended := s.facts[k].fact.(InstanceEnded)
+	delete(s.facts, k)
+	s.checksum ^= k.checksum()
 	if !ended {
 		return
 	}
-	b.endCounts[k.incarnation]--
-	if b.endCounts[k.incarnation] == 0 {
-		delete(b.endCounts, k.incarnation)
-		delete(b.confirmed, k.incarnation)
+	s.endCounts[k.incarnation]--
+	if s.endCounts[k.incarnation] == 0 {
+		delete(s.endCounts, k.incarnation)
+		delete(s.confirmed, k.incarnation)
 	}
-	left := slices.DeleteFunc(b.ends[k.digest], func(other Key) bool { return other == k })
+	left := slices.DeleteFunc(s.ends[k.digest], func(other Key) bool { return other == k })
 	if len(left) == 0 {
-		delete(b.ends, k.digest)
+		delete(s.ends, k.digest)
 		return
 	}
-	b.ends[k.digest] = left
+	s.ends[k.digest] = left
 }
 
 // evictFor removes the oldest fact, preferring requests with few ends, so that a caller whose many
 // different bodies each end an instance does not evict a held request. A fact that is not much
 // newer than the oldest is not added, unless its request is suspected: with more facts than fit in
 // a set, the entries would otherwise evict what they send each other again and again.
-func (b *FactSet) evictFor(fact Fact) bool {
+func (s *FactSet) evictFor(fact Fact) bool {
 	var oldest Key
 	var at time.Time
 	few := false
-	for k, e := range b.facts {
-		isFew := len(b.ends[k.digest]) < endsToHold
+	for k, e := range s.facts {
+		isFew := len(s.ends[k.digest]) < endsToHold
 		if isFew && !few || isFew == few && (at.IsZero() || e.fact.When().Before(at)) {
 			oldest, at, few = k, e.fact.When(), isFew
 		}
 	}
-	if !b.IsSuspected(fact.Key().digest) && fact.When().Sub(at) < minReplaceAge {
+	if !s.IsSuspected(fact.Key().digest) && fact.When().Sub(at) < minReplaceAge {
 		return false
 	}
-	b.remove(oldest)
+	s.remove(oldest)
 	return true
 }
 
 // Checksum returns a value that is equal for sets that hold the same keys, independent of the order
 // in which they were merged.
-func (b *FactSet) Checksum() uint64 { return b.checksum }
+func (s *FactSet) Checksum() uint64 { return s.checksum }
 
 func (k Key) checksum() uint64 {
 	return xxhash.Sum64String(k.digest.String() + k.incarnation.ID + strconv.FormatInt(int64(k.incarnation.Start), 16))
 }
 
 // Contains reports whether the set has a fact with the key.
-func (b *FactSet) Contains(k Key) bool { return b.facts[k] != nil }
+func (s *FactSet) Contains(k Key) bool { return s.facts[k] != nil }
 
 // Len returns the number of facts.
-func (b *FactSet) Len() int { return len(b.facts) }
+func (s *FactSet) Len() int { return len(s.facts) }
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -114,34 +114,34 @@
 }
 
 // Decide returns whether an attempt may be sent now; entries is the number of entries that serve.
-func (b *FactSet) Decide(d Digest, entries int, now time.Time) Verdict {
-	if !b.IsSuspected(d) {
+func (s *FactSet) Decide(d Digest, entries int, now time.Time) Verdict {
+	if !s.IsSuspected(d) {
 		return Send{}
 	}
-	c := b.Status(d, entries, now)
+	c := s.Status(d, entries, now)
 	switch {
-	case c.Ends == 0, !c.Held && b.recentlySucceeded(c, now):
+	case c.Ends == 0, !c.Held && s.recentlySucceeded(c, now):
 		return Send{}
-	case c.Held && (now.Before(c.Until) || !b.hasTurn(d, c, entries, now)):
+	case c.Held && (now.Before(c.Until) || !s.hasTurn(d, c, entries, now)):
 		return Hold{RetryAfter: max(c.Until.Sub(now), minRetryAfter), EndsInstances: true}
 	case !c.Held && c.Ends == endsToHold-1 && now.Sub(c.LastEnd) < propagationWait:
 		return Hold{RetryAfter: max(c.LastEnd.Add(propagationWait).Sub(now), minRetryAfter), EndsInstances: true}
-	case b.running[d] > 0:
+	case s.running[d] > 0:
 		return Hold{RetryAfter: minRetryAfter, EndsInstances: c.Held}
 	}
 	if c.Held {
-		b.lastTry[d] = now
+		s.lastTry[d] = now
 	}
 	return SendAlone{}
 }
 
 // Counts returns how many requests are suspected but still sent, and how many are held.
-func (b *FactSet) Counts(entries int, now time.Time) (suspected, held int) {
-	for d := range b.ends {
-		switch c := b.Status(d, entries, now); {
+func (s *FactSet) Counts(entries int, now time.Time) (suspected, held int) {
+	for d := range s.ends {
+		switch c := s.Status(d, entries, now); {
 		case c.Held:
 			held++
-		case c.Ends > 0 && !b.recentlySucceeded(c, now):
+		case c.Ends > 0 && !s.recentlySucceeded(c, now):
 			suspected++
 		}
 	}
@@ -149,28 +149,28 @@
 }
 
 // Begin records that an attempt is sent.
-func (b *FactSet) Begin(d Digest) { b.running[d]++ }
+func (s *FactSet) Begin(d Digest) { s.running[d]++ }
 
 // Done records the end of an attempt.
-func (b *FactSet) Done(d Digest) {
-	b.running[d]--
-	if b.running[d] <= 0 {
-		delete(b.running, d)
+func (s *FactSet) Done(d Digest) {
+	s.running[d]--
+	if s.running[d] <= 0 {
+		delete(s.running, d)
 	}
 }
 
 // recentlySucceeded reports whether the request succeeded within successWindow.
-func (b *FactSet) recentlySucceeded(c RequestStatus, now time.Time) bool {
+func (s *FactSet) recentlySucceeded(c RequestStatus, now time.Time) bool {
 	return !c.LastSuccess.IsZero() && now.Sub(c.LastSuccess) < successWindow
 }
 
 // Status returns what is known about a request.
-func (b *FactSet) Status(d Digest, entries int, now time.Time) RequestStatus {
+func (s *FactSet) Status(d Digest, entries int, now time.Time) RequestStatus {
 	var c RequestStatus
-	if answered, ok := b.facts[Key{digest: d}]; ok {
+	if answered, ok := s.facts[Key{digest: d}]; ok {
 		c.LastSuccess = answered.fact.When()
 	}
-	ends := b.countedEnds(d, c.LastSuccess)
+	ends := s.countedEnds(d, c.LastSuccess)
 	c.Ends = len(ends)
 	if c.Ends == 0 {
 		return c
@@ -182,15 +182,15 @@
 		}
 	}
 	count := c.Ends
-	if b.recentlySucceeded(c, now) {
-		count = rounds(b.unexplained(d, ends, now))
+	if s.recentlySucceeded(c, now) {
+		count = rounds(s.unexplained(d, ends, now))
 	}
 	if count < endsToHold {
 		return c
 	}
 	c.Held = true
 	c.Until = c.LastEnd.Add(pauseAfter(c.Rounds))
-	if tried := b.lastTry[d]; !tried.IsZero() && tried.Add(tryInterval).After(c.Until) {
+	if tried := s.lastTry[d]; !tried.IsZero() && tried.Add(tryInterval).After(c.Until) {
 		c.Until = tried.Add(tryInterval)
 	}
 	return c
@@ -198,11 +198,11 @@
 
 // countedEnds returns the ends that count against a request: those since its last success, of
 // incarnations that have not responded since.
-func (b *FactSet) countedEnds(d Digest, answered time.Time) []InstanceEnded {
+func (s *FactSet) countedEnds(d Digest, lastSuccess time.Time) []InstanceEnded {
 	var out []InstanceEnded
-	for _, k := range b.ends[d] {
-		e := b.facts[k].fact.(InstanceEnded)
-		if !b.refuted(e) && e.At.After(answered) {
+	for _, k := range s.ends[d] {
+		e := s.facts[k].fact.(InstanceEnded)
+		if !s.refuted(e) && e.At.After(lastSuccess) {
 			out = append(out, e)
 		}
 	}
@@ -211,13 +211,13 @@
 
 // unexplained removes the ends of instances that also ended under a poison request: a popular
 // request runs on most of those.
-func (b *FactSet) unexplained(d Digest, ends []InstanceEnded, now time.Time) []InstanceEnded {
+func (s *FactSet) unexplained(d Digest, ends []InstanceEnded, now time.Time) []InstanceEnded {
 	if len(ends) < endsToHold {
 		return ends
 	}
 	return slices.DeleteFunc(slices.Clone(ends), func(e InstanceEnded) bool {
-		for other := range b.ends {
-			if other != d && b.facts[Key{digest: other, incarnation: e.Incarnation}] != nil && b.isPoison(other, now) {
+		for other := range s.ends {
+			if other != d && s.facts[Key{digest: other, incarnation: e.Incarnation}] != nil && s.isPoison(other, now) {
 				return true
 			}
 		}
@@ -227,12 +227,12 @@
 
 // isPoison reports whether enough instances ended under a request to hold it, and it has not
 // succeeded recently.
-func (b *FactSet) isPoison(d Digest, now time.Time) bool {
+func (s *FactSet) isPoison(d Digest, now time.Time) bool {
 	var c RequestStatus
-	if answered, ok := b.facts[Key{digest: d}]; ok {
+	if answered, ok := s.facts[Key{digest: d}]; ok {
 		c.LastSuccess = answered.fact.When()
 	}
-	return !b.recentlySucceeded(c, now) && len(b.countedEnds(d, c.LastSuccess)) >= endsToHold
+	return !s.recentlySucceeded(c, now) && len(s.countedEnds(d, c.LastSuccess)) >= endsToHold
 }
 
 // rounds returns how many ends followed one another: the largest number of ends for which each
@@ -262,13 +262,13 @@
 
 // hasTurn reports whether this entry may try a request whose pause is over. Entries take turns by a
 // number that each derives from its random seed, counted from the last end, which all of them know.
-func (b *FactSet) hasTurn(d Digest, c RequestStatus, entries int, now time.Time) bool {
+func (s *FactSet) hasTurn(d Digest, c RequestStatus, entries int, now time.Time) bool {
 	cycle := min(turnLength*time.Duration(max(entries, 1)), maxCycle)
 	since := now.Sub(c.LastEnd.Add(pauseAfter(c.Rounds)))
 	if entries <= 1 || since >= turnCycles*cycle {
 		return true
 	}
-	x := b.seed ^ uint64(c.Ends)*0x9e3779b97f4a7c15
+	x := s.seed ^ uint64(c.Ends)*0x9e3779b97f4a7c15
 	for _, v := range d[:8] {
 		x = (x ^ uint64(v)) * 0x100000001b3
 	}
--- a/internal/coordination/quarantine/replay_test.go
+++ b/internal/coordination/quarantine/replay_test.go
@@ -314,9 +314,9 @@
 }
 
 func (r *replay) receive(e *replayEntry, f quarantine.Fact) {
-	news := e.Merge(f)
+	isNew := e.Merge(f)
 	end, ok := f.(quarantine.InstanceEnded)
-	if !news || !ok {
+	if !isNew || !ok {
 		return
 	}
 	if at, known := e.answered[end.Digest]; known {
--- a/internal/coordination/retry/truthful_test.go
+++ b/internal/coordination/retry/truthful_test.go
@@ -15,8 +15,8 @@
 		retry.Broken{}, retry.Broken{Sent: 3}, retry.CallerGone{},
 	}
 	const maxDepth = 5
-	var try func(tries retry.RequestAttempts, may func() bool, ran bool, depth int)
-	try = func(tries retry.RequestAttempts, may func() bool, ran bool, depth int) {
+	var try func(tries retry.RequestAttempts, takeBudget func() bool, ran bool, depth int)
+	try = func(tries retry.RequestAttempts, takeBudget func() bool, ran bool, depth int) {
 		if notRun(tries.GiveUp()) && ran {
 			t.Errorf("%+v: GiveUp returned NotRun after an attempt that may have run", tries)
 		}
@@ -26,9 +26,9 @@
 		for _, end := range ends {
 			next := tries
 			ranSoFar := ran || mayHaveRun(end)
-			stop, ok := next.Next(end, may).(retry.Stop)
+			stop, ok := next.Next(end, takeBudget).(retry.Stop)
 			if !ok {
-				try(next, may, ranSoFar, depth+1)
+				try(next, takeBudget, ranSoFar, depth+1)
 				continue
 			}
 			if ranSoFar && notRun(stop.Outcome) {
