--- a/internal/state/disk/disk.go
+++ b/internal/state/disk/disk.go
@@ -1,14 +1,15 @@
-// Package disk keeps a replica's log and snapshot in one data folder.
+// Package disk stores a replica's Raft log and snapshot in one data folder.
 //
-// Files: "incarnation" names the folder for ever; "snapshot" and "log" are each
-// replaced whole by writing a temporary file, syncing it, renaming it and
-// syncing the folder. The log is a row of frames, each with a magic number, a
-// length and a checksum; one Append writes one frame and syncs it.
+// "incarnation" holds the folder's id, which is written once and never changes.
+// "snapshot" and "log" are replaced atomically: a temporary file is written and
+// synced, then renamed, and the folder is synced. The log is a sequence of
+// frames, each with a magic number, a length and a checksum; Append writes one
+// frame and syncs it.
 //
-// Invariant: at most the last frame can be torn, because every earlier one was
-// synced before it was begun. Open therefore cuts a bad tail, and refuses a
-// folder in which a whole frame stands behind a bad one: that is damage, not a
-// crash.
+// Invariant: only the last frame can be torn, because each frame is synced
+// before the next one is written. Open therefore truncates an invalid tail, but
+// fails when a valid frame follows an invalid one: a crash cannot cause that, so
+// the file is corrupt.
 package disk
 
 import (
@@ -41,40 +42,40 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrDamaged is wrapped by Open when the folder holds damage that a crash cannot
-// explain.
+// ErrDamaged is wrapped by Open's error when a file in the folder is corrupt in a
+// way that a crash cannot cause.
 var ErrDamaged = errors.New("the data folder is damaged")
 
 // Folder is an open data folder. It is not safe for concurrent use.
 type Folder struct {
 	path        string
 	incarnation string
-	fresh       bool
-	// lock is held on the incarnation file for as long as the folder is open.
+	created     bool
+	// lock is the incarnation file, on which flock is held while the folder is open.
 	lock *os.File
 	log  *os.File
-	// size is the length of the log's whole and synced frames.
-	size  int64
-	cut   int64
-	image *command.Image
-	// BeforeWrite, when set, is asked before each write, and its error stands for the
-	// disk's; tests use it as a full disk.
+	// size is the length in bytes of the log's complete, synced frames.
+	size      int64
+	truncated int64
+	image     *command.Image
+	// BeforeWrite, when set, is called before each write; if it returns an error, the
+	// write fails with it. Tests use it to simulate a full disk.
 	BeforeWrite func() error
 }
 
-// Open opens a data folder, and makes it when it is not there. entries receives
-// each frame in order.
-func Open(path string, frame func(*command.Frame)) (*Folder, error) {
+// Open opens a data folder, and creates it if it does not exist. onFrame is called
+// with each frame of the log, in order.
+func Open(path string, onFrame func(*command.Frame)) (*Folder, error) {
 	err := os.MkdirAll(path, folderPerm)
 	if err != nil {
-		return nil, errors.Wrap(err, "make the data folder")
+		return nil, errors.Wrap(err, "create the data folder")
 	}
 	f := &Folder{path: path}
 	err = f.openIncarnation()
 	if err != nil {
 		return nil, err
 	}
-	err = f.takeLock()
+	err = f.acquireLock()
 	if err != nil {
 		return nil, err
 	}
@@ -86,7 +87,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "open the log")
 	}
-	err = f.replay(frame)
+	err = f.replay(onFrame)
 	if err != nil {
 		_ = f.log.Close()
 		return nil, err
@@ -96,31 +97,31 @@
 
 func (f *Folder) file(name string) string { return filepath.Join(f.path, name) }
 
-// Incarnation returns the name that this folder has for as long as it exists.
+// Incarnation returns the folder's id, which never changes.
 func (f *Folder) Incarnation() string { return f.incarnation }
 
-// Created reports whether this Open made the folder's incarnation.
-func (f *Folder) Created() bool { return f.fresh }
+// Created reports whether this Open generated the folder's incarnation.
+func (f *Folder) Created() bool { return f.created }
 
 // Image returns the stored snapshot, or nil when there is none.
 func (f *Folder) Image() *command.Image { return f.image }
 
-// TruncatedBytes returns how many bytes of a torn tail Open dropped.
-func (f *Folder) TruncatedBytes() int64 { return f.cut }
+// TruncatedBytes returns the length of the torn tail that Open truncated.
+func (f *Folder) TruncatedBytes() int64 { return f.truncated }
 
 // LogSize returns the length of the log in bytes.
 func (f *Folder) LogSize() int64 { return f.size }
 
-// Close closes the log and lets another process open the folder.
+// Close closes the log and releases the folder's lock.
 func (f *Folder) Close() error {
 	err := f.log.Close()
 	_ = f.lock.Close()
 	return errors.Wrap(err, "close the log")
 }
 
-// takeLock keeps a second process out of the folder; two of them under one
-// incarnation could vote twice.
-func (f *Folder) takeLock() error {
+// acquireLock prevents a second process from opening the folder: two processes
+// with one incarnation could vote twice.
+func (f *Folder) acquireLock() error {
 	lock, err := os.Open(f.file(incarnationFile))
 	if err != nil {
 		return errors.Wrap(err, "open the incarnation")
@@ -147,11 +148,11 @@
 		return errors.Wrap(err, "read the incarnation")
 	}
 	var id [8]byte
-	// rand.Read never fails: the runtime stops the process instead.
+	// rand.Read never returns an error; the runtime aborts the process instead.
 	_, _ = rand.Read(id[:])
 	f.incarnation = hex.EncodeToString(id[:])
-	f.fresh = true
-	return f.replace(incarnationFile, []byte(f.incarnation+"\n"))
+	f.created = true
+	return f.writeFileAtomic(incarnationFile, []byte(f.incarnation+"\n"))
 }
 
 func (f *Folder) readSnapshot() error {
@@ -171,42 +172,42 @@
 	return errors.Wrap(err, "decode the snapshot")
 }
 
-func (f *Folder) replay(frame func(*command.Frame)) error {
+func (f *Folder) replay(onFrame func(*command.Frame)) error {
 	b, err := os.ReadFile(f.file(logFile))
 	if err != nil {
 		return errors.Wrap(err, "read the log")
 	}
-	at := 0
-	for at < len(b) {
-		payload, n := parseFrame(b[at:])
+	offset := 0
+	for offset < len(b) {
+		payload, n := parseFrame(b[offset:])
 		if n == 0 {
 			break
 		}
 		var v command.Frame
 		err := proto.Unmarshal(payload, &v)
 		if err != nil {
-			return errors.Wrapf(ErrDamaged, "%s: the frame at byte %d passes its checksum but does not decode", f.file(logFile), at)
+			return errors.Wrapf(ErrDamaged, "%s: the frame at byte %d passes its checksum but does not decode", f.file(logFile), offset)
 		}
-		frame(&v)
-		at += n
+		onFrame(&v)
+		offset += n
 	}
-	if at < len(b) && frameBehind(b[at+1:]) {
-		return errors.Wrapf(ErrDamaged, "%s: the frame at byte %d is bad and whole ones follow it; restore the folder or replace this replica", f.file(logFile), at)
+	if offset < len(b) && containsFrame(b[offset+1:]) {
+		return errors.Wrapf(ErrDamaged, "%s: the frame at byte %d is invalid but valid frames follow it; restore the folder or replace this replica", f.file(logFile), offset)
 	}
-	f.cut = int64(len(b) - at)
-	f.size = int64(at)
-	if f.cut == 0 {
+	f.truncated = int64(len(b) - offset)
+	f.size = int64(offset)
+	if f.truncated == 0 {
 		return nil
 	}
 	err = f.log.Truncate(f.size)
 	if err != nil {
-		return errors.Wrap(err, "cut the torn tail")
+		return errors.Wrap(err, "truncate the torn tail")
 	}
 	return errors.Wrap(f.log.Sync(), "sync the log")
 }
 
-// parseFrame returns the payload of the frame at the start of b and the length
-// of the whole frame, or 0 when there is no whole frame.
+// parseFrame returns the payload of the frame at the start of b and the frame's
+// length with its header; n is 0 when b does not begin with a valid frame.
 func parseFrame(b []byte) (payload []byte, n int) {
 	if len(b) < headerBytes || binary.LittleEndian.Uint32(b) != frameMagic {
 		return nil, 0
@@ -222,8 +223,8 @@
 	return payload, headerBytes + length
 }
 
-// frameBehind reports whether a whole frame starts anywhere in b.
-func frameBehind(b []byte) bool {
+// containsFrame reports whether a valid frame starts at any offset in b.
+func containsFrame(b []byte) bool {
 	for i := range b {
 		if _, n := parseFrame(b[i:]); n > 0 {
 			return true
@@ -232,7 +233,7 @@
 	return false
 }
 
-func makeFrame(payload []byte) []byte {
+func encodeFrame(payload []byte) []byte {
 	b := make([]byte, headerBytes, headerBytes+len(payload))
 	binary.LittleEndian.PutUint32(b, frameMagic)
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(payload)))
@@ -240,8 +241,8 @@
 	return append(b, payload...)
 }
 
-// Append writes one frame and syncs it. After an error nothing of it counts: the
-// next Append, or the next Open, begins at the same place.
+// Append writes one frame and syncs it. After an error the frame is not part of the
+// log: the next Append, or the next Open, continues at the same offset.
 func (f *Folder) Append(v *command.Frame) error {
 	payload, err := proto.Marshal(v)
 	if err != nil {
@@ -252,22 +253,23 @@
 			return err
 		}
 	}
-	b := makeFrame(payload)
+	b := encodeFrame(payload)
 	_, err = f.log.WriteAt(b, f.size)
 	if err != nil {
-		return f.undo(errors.Wrap(err, "write the log"))
+		return f.discardPartialFrame(errors.Wrap(err, "write the log"))
 	}
 	err = f.log.Sync()
 	if err != nil {
-		return f.undo(errors.Wrap(err, "sync the log"))
+		return f.discardPartialFrame(errors.Wrap(err, "sync the log"))
 	}
 	f.size += int64(len(b))
 	return nil
 }
 
-// undo cuts a half-written frame off, so that no garbage is left behind a full
-// disk. The cut may fail as well; the checksum still guards the next Open.
-func (f *Folder) undo(err error) error {
+// discardPartialFrame truncates the log to its complete frames after a failed write,
+// such as one on a full disk. The truncation may fail as well; the frame's checksum
+// then lets the next Open detect the partial frame.
+func (f *Folder) discardPartialFrame(err error) error {
 	_ = f.log.Truncate(f.size)
 	return err
 }
@@ -278,18 +280,18 @@
 	if err != nil {
 		return errors.Wrap(err, "encode a snapshot")
 	}
-	return f.replace(snapshotFile, makeFrame(payload))
+	return f.writeFileAtomic(snapshotFile, encodeFrame(payload))
 }
 
-// RewriteLog replaces the log by one frame, which holds what the snapshot does not.
-// It must follow the Save that made the rest needless.
+// RewriteLog replaces the log by one frame with the state that the snapshot does not
+// cover. Call it only after SaveSnapshot has stored the rest.
 func (f *Folder) RewriteLog(v *command.Frame) error {
 	payload, err := proto.Marshal(v)
 	if err != nil {
 		return errors.Wrap(err, "encode a frame")
 	}
-	b := makeFrame(payload)
-	err = f.replace(logFile, b)
+	b := encodeFrame(payload)
+	err = f.writeFileAtomic(logFile, b)
 	if err != nil {
 		return err
 	}
@@ -303,8 +305,8 @@
 	return nil
 }
 
-// replace puts a file's whole content in place durably.
-func (f *Folder) replace(name string, content []byte) error {
+// writeFileAtomic replaces a file of the folder durably and atomically.
+func (f *Folder) writeFileAtomic(name string, content []byte) error {
 	if f.BeforeWrite != nil {
 		if err := f.BeforeWrite(); err != nil {
 			return err
@@ -313,8 +315,8 @@
 	return WriteFileAtomic(f.file(name), content)
 }
 
-// WriteFileAtomic puts a file's whole content in place durably: after a crash the file holds
-// either what it held or all of the new.
+// WriteFileAtomic replaces the content of a file durably and atomically: after a crash
+// the file holds either its old content or all of the new content.
 func WriteFileAtomic(path string, content []byte) error {
 	temporary := path + temporarySuffix
 	err := writeSynced(temporary, content)
