--- a/internal/transport/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -1,5 +1,5 @@
-// Package rpc holds the HTTP plumbing between shedrock's own processes: HTTP/2
-// without TLS, whose header compression keeps a heartbeat small.
+// Package rpc provides the HTTP client and server for calls between shedrock processes. They
+// use HTTP/2 without TLS, whose header compression keeps heartbeats small.
 package rpc
 
 import (
@@ -14,18 +14,19 @@
 )
 
 const (
-	// dialTimeout bounds the setting up of a connection inside a region.
+	// dialTimeout limits the setup of a connection within a region.
 	dialTimeout = time.Second
-	// idleTimeout closes connections that nobody uses.
+	// idleTimeout is how long an idle connection stays open.
 	idleTimeout = 2 * time.Minute
-	// pingInterval and pingTimeout notice a peer that was cut off in silence.
+	// pingInterval and pingTimeout detect a peer that became unreachable without closing the
+	// connection.
 	pingInterval = 5 * time.Second
 	pingTimeout  = 2 * time.Second
-	// readHeaderTimeout bounds a peer that sends half a request.
+	// readHeaderTimeout limits how long a peer may take to send a request's headers.
 	readHeaderTimeout = 5 * time.Second
 )
 
-// NewClient returns a client for twirp calls between processes.
+// NewClient returns an HTTP client for Twirp calls between processes.
 func NewClient() *http.Client {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
@@ -55,6 +56,6 @@
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	// Every call between processes may be asked again, so none is waited for.
+	// Callers can repeat every call between processes, so those in progress are aborted.
 	return errors.Wrap(server.Close(), "close the server")
 }
--- a/internal/transport/rpc/rpc_test.go
+++ b/internal/transport/rpc/rpc_test.go
@@ -13,48 +13,47 @@
 	"github.com/shedrock/shedrock/internal/transport/rpc"
 )
 
-// counted counts the connections that a listener took and that are open.
-type counted struct {
+// countingListener counts the connections that were accepted and those that are open.
+type countingListener struct {
 	net.Listener
-	taken, open atomic.Int64
+	accepted, open atomic.Int64
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	once sync.Once
 	open *atomic.Int64
 }
 
-func (l *counted) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	l.taken.Add(1)
+	l.accepted.Add(1)
 	l.open.Add(1)
-	return &countedConn{Conn: c, open: &l.open}, nil
+	return &countingConn{Conn: c, open: &l.open}, nil
 }
 
-func (c *countedConn) Close() error {
+func (c *countingConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-// What was seen: on a large day a control instance that was left alone had all of its 4,096 file
-// descriptors taken within 0.3 s of the loss of the others, by 294 entries. It could not reach the
-// others after their return either, so that the control log had no majority until the end.
+// Concurrent calls of a client to one address share one connection.
 //
-// How it came about: an HTTP/2 client without a connection connects once for each call that waits,
-// and all calls of all entries went to the one instance that answered.
-//
-// A client connects once, however many calls wait.
+// Guards against file descriptor exhaustion: an HTTP/2 client without a connection dials once for
+// each waiting call. In a large run, the last control instance that answered received all calls of
+// 294 entries and used up its 4,096 file descriptors within 0.3 s of the loss of the others. It
+// could not connect to them after their return either, so the control log had no majority until
+// the end of the run.
 func TestCallsAtOnceShareAConnection(t *testing.T) {
-	const calls, most = 100, 1
+	const calls, maxConnections = 100, 1
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &counted{Listener: listener}
+	l := &countingListener{Listener: listener}
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -80,7 +79,7 @@
 		})
 	}
 	wg.Wait()
-	if taken, open := l.taken.Load(), l.open.Load(); taken > most {
-		t.Errorf("%d calls took %d connections, of which %d stay open", calls, taken, open)
+	if accepted, open := l.accepted.Load(), l.open.Load(); accepted > maxConnections {
+		t.Errorf("%d calls opened %d connections, of which %d are still open", calls, accepted, open)
 	}
 }
