--- a/internal/transport/callmetrics/callmetrics.go
+++ b/internal/transport/callmetrics/callmetrics.go
@@ -1,5 +1,5 @@
-// Package callmetrics counts and times the calls of operators and instances that a control
-// instance takes, and tells how it stands in the control log.
+// Package callmetrics provides the metrics of a control instance: counts and durations of the
+// calls from operators and instances, and gauges of its state in the control log.
 package callmetrics
 
 import (
@@ -13,55 +13,56 @@
 	"github.com/shedrock/shedrock/internal/clock"
 )
 
-// unknownCall labels calls that nothing serves, so that callers cannot make up labels.
-const unknownCall = "unknown"
+// unmatchedCall is the label value for requests that match no pattern. Using their paths would let
+// callers create any number of label values.
+const unmatchedCall = "unknown"
 
-// ReplicaState is how a control instance stands.
+// ReplicaState is the state of a control instance.
 type ReplicaState struct {
-	// Leading says whether it leads the control log, and Term in which term.
+	// Leading reports whether it leads the control log; Term is the log's current term.
 	Leading bool
 	Term    uint64
-	// Version is the configuration that it has applied.
+	// Version is the version of the configuration that it has applied.
 	Version uint64
-	// Instances is how many instances live, as far as it knows.
+	// Instances is the number of instances that it considers alive.
 	Instances int
 }
 
-// Metrics counts the calls. Make one with New.
+// Metrics holds the metrics of one control instance. Create one with New.
 type Metrics struct {
-	registry *prometheus.Registry
-	calls    *prometheus.CounterVec
-	refused  *prometheus.CounterVec
-	took     *prometheus.HistogramVec
+	registry       *prometheus.Registry
+	calls          *prometheus.CounterVec
+	refusedReports *prometheus.CounterVec
+	duration       *prometheus.HistogramVec
 }
 
-// New returns metrics that count from 0; standing is asked whenever they are read.
-func New(standing func() ReplicaState) *Metrics {
+// New returns metrics that count from 0. It calls state for each gauge at each scrape.
+func New(state func() ReplicaState) *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shedrock_calls_total", Help: "Calls of operators and instances by their status.",
 		}, []string{"call", "status"}),
-		refused: prometheus.NewCounterVec(prometheus.CounterOpts{
+		refusedReports: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shedrock_reports_refused_total", Help: "Reports of instances that were not taken, by what is wrong.",
 		}, []string{"reason"}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "shedrock_call_seconds", Help: "From a call's arrival to its answer.",
 			// From 1 ms to 2 s.
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 12),
 		}, []string{"call"}),
 	}
 	m.registry.MustRegister(
-		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), m.calls, m.refused, m.took,
+		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), m.calls, m.refusedReports, m.duration,
 	)
-	m.registry.MustRegister(gauges(standing)...)
+	m.registry.MustRegister(gauges(state)...)
 	return m
 }
 
-// gauges tell how a control instance stands whenever they are read.
-func gauges(standing func() ReplicaState) []prometheus.Collector {
+// gauges returns gauges that read the control instance's state at each scrape.
+func gauges(state func() ReplicaState) []prometheus.Collector {
 	gauge := func(name, help string, value func(ReplicaState) float64) prometheus.Collector {
-		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return value(standing()) })
+		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return value(state()) })
 	}
 	return []prometheus.Collector{
 		gauge("shedrock_leading", "1 while this instance leads the control log.", func(s ReplicaState) float64 {
@@ -76,13 +77,13 @@
 	}
 }
 
-// Handler serves the metrics as text.
+// Handler serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Instrument counts and times what next serves; next must be a *http.ServeMux or set the request's
-// pattern as one does.
+// Instrument counts and times the requests that next serves. next must be a *http.ServeMux or set
+// Request.Pattern as one does.
 func (m *Metrics) Instrument(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began := clock.Now()
@@ -90,23 +91,24 @@
 		next.ServeHTTP(status, r)
 		call := r.Pattern
 		if call == "" {
-			call = unknownCall
+			call = unmatchedCall
 		}
 		m.calls.WithLabelValues(call, strconv.Itoa(status.status)).Inc()
-		m.took.WithLabelValues(call).Observe(clock.Since(began).Seconds())
+		m.duration.WithLabelValues(call).Observe(clock.Since(began).Seconds())
 	})
 }
 
-// CountRefusedReport counts a report of an instance that was not taken; reason is one of few words.
-func (m *Metrics) CountRefusedReport(reason string) { m.refused.WithLabelValues(reason).Inc() }
+// CountRefusedReport counts an instance's report that was refused. reason is a label value, so it must
+// come from a small fixed set.
+func (m *Metrics) CountRefusedReport(reason string) { m.refusedReports.WithLabelValues(reason).Inc() }
 
-// statusWriter remembers the status that was written.
+// statusWriter records the status that was written.
 type statusWriter struct {
 	http.ResponseWriter
 	status int
 }
 
-// WriteHeader notes the status and passes it on.
+// WriteHeader records the status and passes it on.
 func (w *statusWriter) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
--- a/internal/transport/callmetrics/callmetrics_test.go
+++ b/internal/transport/callmetrics/callmetrics_test.go
@@ -11,8 +11,8 @@
 	"github.com/shedrock/shedrock/internal/transport/callmetrics"
 )
 
-// Calls are counted by what serves them, whatever ids stand in their paths, and the standing
-// is read with the metrics.
+// Calls are counted by the pattern that serves them, whatever the ids in their paths, and the
+// gauges show the current replica state.
 func TestCallsAreCounted(t *testing.T) {
 	m := callmetrics.New(func() callmetrics.ReplicaState {
 		return callmetrics.ReplicaState{Leading: true, Term: 3, Version: 7, Instances: 2}
@@ -20,9 +20,9 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /beat/{id}", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("POST /put", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadRequest) })
-	counted := m.Instrument(mux)
+	instrumented := m.Instrument(mux)
 	for _, path := range []string{"/beat/a", "/beat/b", "/put", "/nowhere"} {
-		counted.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, path, nil))
+		instrumented.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, path, nil))
 	}
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
