--- a/internal/state/weights/weights.go
+++ b/internal/state/weights/weights.go
@@ -1,14 +1,14 @@
 // Package weights decides which version of a model's weights a request must run on at least.
 //
-// An operator names versions, and engines are brought to the newest one by one, which may take
-// long or never end. Until a bound after its naming is over, a request may also begin on an
-// older version; after it, on none. A History holds what that depends on: when each version
-// was named, and up to which version the bound is certainly over. Whoever sends requests
-// decides by its own History at the moment of sending, so that no progress elsewhere is needed
-// for old weights to be left alone.
+// An operator announces versions, and engines are updated to the newest one by one, which may take
+// long or never finish. During a grace period after the announcement a request may still begin on an
+// older version, and afterwards no longer. A History holds the state for that decision: when each version
+// was announced, and up to which version the grace period has certainly ended. A process that sends
+// requests decides by its own History at the moment of sending, so old weights go out of use without
+// depending on the progress of any other process.
 //
-// Times are those of the process's own clock. What comes from another process comes as an age,
-// and histories join to the stricter of what each knows.
+// Times are those of the process's own clock. Other processes send ages instead of times, and merging
+// histories keeps the stricter of the two.
 package weights
 
 import (
@@ -16,138 +16,139 @@
 	"time"
 )
 
-// mostNamed bounds the versions of one model whose times are remembered: so many may be named
-// within the bound and still be told apart.
-const mostNamed = 16
+// maxAnnouncements bounds the versions of one model whose announcement times are kept. If more are
+// announced within the grace period, the oldest are merged.
+const maxAnnouncements = 16
 
-// GracePolicy says how long requests may begin on old weights.
+// GracePolicy determines how long requests may begin on old weights.
 type GracePolicy struct {
-	// Period is how long after the naming of newer ones; 0 is without an end.
+	// Period is the grace period after the announcement of a newer version; 0 means no end.
 	Period time.Duration
-	// LastUnreachable, when set, is when this process was last out of reach of whoever brings engines to
-	// new weights: no bound is over sooner than if the versions had been named then.
+	// LastUnreachable, if set, is when this process last could not reach the control instances, which update
+	// engines to new weights. Grace periods then end no sooner than if the versions had been announced
+	// at that time.
 	LastUnreachable time.Time
-	// Unreachable says that it is out of reach now: then no version is required, so that whoever is
-	// cut off goes on with what there is.
+	// Unreachable is true while it cannot reach them. No version is required then, so that a partitioned
+	// process continues with the weights that its engines have.
 	Unreachable bool
 }
 
-// end returns when the time of versions before one that was named at a time is over.
-func (a GracePolicy) end(at time.Time) time.Time {
+// graceEnd returns when the grace period of the versions before one that was announced at the given time ends.
+func (a GracePolicy) graceEnd(at time.Time) time.Time {
 	if at.Before(a.LastUnreachable) {
 		at = a.LastUnreachable
 	}
 	return at.Add(a.Period)
 }
 
-// Announcement is when a version was named.
+// Announcement is the announcement of a version.
 type Announcement struct {
 	Version uint64
-	// At is when a majority of the control log had the version, or somewhat later: as much
-	// as it took to hear of it.
+	// At is when the version was committed to the control log, or later by the time that it took
+	// this process to learn of it.
 	At time.Time
 }
 
-// History is what is known of the versions of one model. Its zero value knows none. It is a
-// value: its methods leave it as it is.
+// History holds the known versions of one model. Its zero value is empty. It is an immutable
+// value: its methods return a changed copy.
 type History struct {
-	// due is the newest version of which it is certain that the bound is over.
-	due uint64
-	// named is in the order of versions, and of times too: a version that was named after a
-	// newer one was heard of says nothing more.
-	named []Announcement
+	// enforced is the newest version whose grace period has certainly ended.
+	enforced uint64
+	// announcements is ordered by version, and by time as well: a version that was announced no earlier
+	// than a newer one is superfluous and is dropped.
+	announcements []Announcement
 }
 
-// Announce adds a naming. A version that is known keeps its earliest time.
+// Announce adds an announcement. A known version keeps its earliest time.
 func (h History) Announce(n Announcement) History {
-	out := History{due: h.due}
-	for _, known := range h.named {
+	out := History{enforced: h.enforced}
+	for _, known := range h.announcements {
 		if known.Version == n.Version && known.At.Before(n.At) {
 			n.At = known.At
 		}
 	}
-	for _, known := range h.named {
+	for _, known := range h.announcements {
 		if known.Version != n.Version {
-			out.named = append(out.named, known)
+			out.announcements = append(out.announcements, known)
 		}
 	}
-	out.named = append(out.named, n)
-	return out.settled()
+	out.announcements = append(out.announcements, n)
+	return out.normalized()
 }
 
-// Enforce notes that the bound of a version is over, whatever its naming's time.
+// Enforce records that the grace period of a version has ended, whenever it was announced.
 func (h History) Enforce(version uint64) History {
-	h.due = max(h.due, version)
-	return h.settled()
+	h.enforced = max(h.enforced, version)
+	return h.normalized()
 }
 
-// Merge adds all that another history knows.
+// Merge adds the state of another history.
 func (h History) Merge(other History) History {
-	out := h.Enforce(other.due)
-	for _, n := range other.named {
+	out := h.Enforce(other.enforced)
+	for _, n := range other.announcements {
 		out = out.Announce(n)
 	}
 	return out
 }
 
-// settled drops what changes no answer, and joins the oldest namings when there are too many:
-// the newer version then counts from the older one's time, which is stricter.
-func (h History) settled() History {
-	named := slices.Clone(h.named)
-	slices.SortFunc(named, func(a, b Announcement) int {
+// normalized drops announcements that affect no result, and merges the oldest ones when there are too many:
+// the grace period of the newer version then counts from the older one's time, which is stricter.
+func (h History) normalized() History {
+	announcements := slices.Clone(h.announcements)
+	slices.SortFunc(announcements, func(a, b Announcement) int {
 		if a.Version < b.Version {
 			return -1
 		}
 		return 1
 	})
-	kept := named[:0]
-	for i, n := range named {
-		newerWasEarlier := slices.ContainsFunc(named[i+1:], func(later Announcement) bool { return !later.At.After(n.At) })
-		if n.Version > h.due && !newerWasEarlier {
+	kept := announcements[:0]
+	for i, n := range announcements {
+		superseded := slices.ContainsFunc(announcements[i+1:], func(later Announcement) bool { return !later.At.After(n.At) })
+		if n.Version > h.enforced && !superseded {
 			kept = append(kept, n)
 		}
 	}
-	for len(kept) > mostNamed {
+	for len(kept) > maxAnnouncements {
 		kept[1].At = kept[0].At
 		kept = kept[1:]
 	}
-	return History{due: h.due, named: kept}
+	return History{enforced: h.enforced, announcements: kept}
 }
 
 // Newest returns the newest version, or 0.
 func (h History) Newest() uint64 {
-	if len(h.named) == 0 {
-		return h.due
+	if len(h.announcements) == 0 {
+		return h.enforced
 	}
-	return h.named[len(h.named)-1].Version
+	return h.announcements[len(h.announcements)-1].Version
 }
 
-// NewestAnnouncedAt returns when the newest version was named; ok is false when that is not known any
-// more, because its bound is over.
+// NewestAnnouncedAt returns when the newest version was announced; ok is false when that is no longer
+// known because its grace period has ended.
 func (h History) NewestAnnouncedAt() (at time.Time, ok bool) {
-	if len(h.named) == 0 {
+	if len(h.announcements) == 0 {
 		return time.Time{}, false
 	}
-	return h.named[len(h.named)-1].At, true
+	return h.announcements[len(h.announcements)-1].At, true
 }
 
-// Enforced returns the newest version of which it is certain that its bound is over.
-func (h History) Enforced() uint64 { return h.due }
+// Enforced returns the newest version whose grace period has certainly ended.
+func (h History) Enforced() uint64 { return h.enforced }
 
-// Announcements returns the namings in the order of versions.
-func (h History) Announcements() []Announcement { return slices.Clone(h.named) }
+// Announcements returns the announcements in the order of versions.
+func (h History) Announcements() []Announcement { return slices.Clone(h.announcements) }
 
-// Required returns the oldest version on which a request may begin at a time. 0 is any.
+// Required returns the oldest version on which a request may begin at now; 0 means any version.
 func (h History) Required(now time.Time, a GracePolicy) uint64 {
 	if a.Unreachable {
 		return 0
 	}
 	required := uint64(0)
-	if !now.Before(h.dueEnd(a)) {
-		required = h.due
+	if !now.Before(h.enforcedGraceEnd(a)) {
+		required = h.enforced
 	}
-	for _, n := range h.named {
-		if a.Period > 0 && !now.Before(a.end(n.At)) {
+	for _, n := range h.announcements {
+		if a.Period > 0 && !now.Before(a.graceEnd(n.At)) {
 			required = max(required, n.Version)
 		}
 	}
@@ -159,20 +160,20 @@
 	if a.Unreachable {
 		return time.Time{}, false
 	}
-	if version < h.due {
-		return h.dueEnd(a), true
+	if version < h.enforced {
+		return h.enforcedGraceEnd(a), true
 	}
-	for _, n := range h.named {
+	for _, n := range h.announcements {
 		if a.Period > 0 && n.Version > version {
-			return a.end(n.At), true
+			return a.graceEnd(n.At), true
 		}
 	}
 	return time.Time{}, false
 }
 
-// dueEnd returns when the time of versions before the one that is certainly due is over for
-// who was out of reach, and long ago for others.
-func (h History) dueEnd(a GracePolicy) time.Time {
+// enforcedGraceEnd returns when the grace period of the versions before the enforced one ends: one Period after
+// LastUnreachable if that is set, and the zero time otherwise, as it has certainly ended.
+func (h History) enforcedGraceEnd(a GracePolicy) time.Time {
 	if a.LastUnreachable.IsZero() {
 		return time.Time{}
 	}
