--- a/internal/state/evacuation/evacuation.go
+++ b/internal/state/evacuation/evacuation.go
@@ -1,6 +1,6 @@
-// Package evacuation holds which failure domains are evacuated: no request is to begin at their
-// upstreams. The control log holds a Book; whoever sends requests joins what control instances tell
-// in a Known.
+// Package evacuation holds which failure domains are evacuated: no new requests are sent to their
+// upstreams. The control log holds a Table; a process that sends requests merges the reports of the
+// control instances in a View.
 package evacuation
 
 import (
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Domain is a failure domain that was evacuated at least once. It is a plain value.
+// Domain is the state of a failure domain that was evacuated at least once.
 type Domain struct {
 	Name      string
 	Evacuated bool
-	// Revision numbers its last change among the changes of all domains, from 1.
+	// Revision is the number of its last change among the changes of all domains, from 1.
 	Revision uint64
 }
 
-// Table is the state in the control log; its zero value has no domain. It is not safe for concurrent
+// Table is the replicated state in the control log; its zero value is empty. It is not safe for concurrent
 // use.
 type Table struct {
 	domains map[string]Domain
-	// revision is the newest of all domains.
+	// revision is the highest revision of all domains.
 	revision uint64
 }
 
-// Restore returns the book that holds some domains.
+// Restore returns a table that holds the given domains.
 func Restore(domains []Domain) *Table {
 	b := &Table{domains: map[string]Domain{}}
 	for _, d := range domains {
@@ -35,12 +35,12 @@
 	return b
 }
 
-// Change starts or ends the evacuation of a domain, unless that is so already or the domain has
-// changed since the revision that was seen: a command that comes late, after the operator has
-// changed the domain again, changes nothing. It returns the domain as it is then.
-func (b *Table) Change(name string, end bool, seen uint64) Domain {
+// Change starts or ends the evacuation of a domain. It has no effect if the domain is in that state already
+// or its revision is not expectedRevision, so that a delayed command does not undo a later change by the
+// operator. It returns the resulting state of the domain.
+func (b *Table) Change(name string, end bool, expectedRevision uint64) Domain {
 	d := b.Domain(name)
-	if d.Evacuated != end || d.Revision != seen {
+	if d.Evacuated != end || d.Revision != expectedRevision {
 		return d
 	}
 	b.revision++
@@ -69,21 +69,21 @@
 	return out
 }
 
-// View is what one process was told of evacuations; its zero value knows of none. It is not safe
+// View is the state of evacuations as reported to one process; its zero value is empty. It is not safe
 // for concurrent use.
 type View struct {
-	// domains are by name. Of a domain the highest revision holds, whoever tells it and when.
-	domains map[string]known
+	// domains are by name. The highest revision of a domain holds, regardless of the reporter and the order.
+	domains map[string]viewEntry
 }
 
-type known struct {
+type viewEntry struct {
 	Domain
-	// since is when the first control instance learned of the revision, as far as is known.
+	// since is the earliest known time at which a control instance had the revision.
 	since time.Time
 }
 
-// Merge joins what one control instance tells of a domain, for how long it has known it; it reports
-// whether the domain changed here.
+// Merge merges the state of a domain that a control instance reports, where age is how long that instance has
+// had it. It reports whether the domain changed in the view.
 func (k *View) Merge(d Domain, age time.Duration, now time.Time) bool {
 	before, ok := k.domains[d.Name]
 	since := now.Add(-age)
@@ -98,9 +98,9 @@
 		return false
 	}
 	if k.domains == nil {
-		k.domains = map[string]known{}
+		k.domains = map[string]viewEntry{}
 	}
-	k.domains[d.Name] = known{d, since}
+	k.domains[d.Name] = viewEntry{d, since}
 	return true
 }
 
@@ -113,13 +113,13 @@
 	return newest
 }
 
-// Evacuated returns the domains that are evacuated, each with since when; nil for none.
-func (k *View) Evacuated() map[string]time.Time { return k.which(true) }
+// Evacuated returns the evacuated domains with the times of the change; nil if there are none.
+func (k *View) Evacuated() map[string]time.Time { return k.filter(true) }
 
-// Ended returns the domains whose evacuation was ended, each with since when; nil for none.
-func (k *View) Ended() map[string]time.Time { return k.which(false) }
+// Ended returns the domains whose evacuation was ended, with the times of the change; nil if there are none.
+func (k *View) Ended() map[string]time.Time { return k.filter(false) }
 
-func (k *View) which(evacuated bool) map[string]time.Time {
+func (k *View) filter(evacuated bool) map[string]time.Time {
 	var out map[string]time.Time
 	for name, d := range k.domains {
 		if d.Evacuated != evacuated {
--- a/internal/state/evacuation/evacuation_test.go
+++ b/internal/state/evacuation/evacuation_test.go
@@ -11,14 +11,14 @@
 	"github.com/shedrock/shedrock/internal/state/evacuation"
 )
 
-// change is one command, or a look at the book's own revision when seen is latest.
+// change holds the arguments of one command.
 type change struct {
 	name string
 	end  bool
 	seen uint64
 }
 
-func TestChangesOfABook(t *testing.T) {
+func TestChanges(t *testing.T) {
 	cases := []struct {
 		name    string
 		changes []change
@@ -27,12 +27,12 @@
 		{"nothing", nil, nil},
 		{"started", []change{{"a", false, 0}}, []evacuation.Domain{{"a", true, 1}}},
 		{"started twice", []change{{"a", false, 0}, {"a", false, 1}}, []evacuation.Domain{{"a", true, 1}}},
-		{"started twice by two who saw nothing", []change{{"a", false, 0}, {"a", false, 0}}, []evacuation.Domain{{"a", true, 1}}},
+		{"started twice with the initial revision", []change{{"a", false, 0}, {"a", false, 0}}, []evacuation.Domain{{"a", true, 1}}},
 		{"ended without a start", []change{{"a", true, 0}}, nil},
 		{"ended", []change{{"a", false, 0}, {"a", true, 1}}, []evacuation.Domain{{"a", false, 2}}},
 		{"ended twice", []change{{"a", false, 0}, {"a", true, 1}, {"a", true, 2}}, []evacuation.Domain{{"a", false, 2}}},
-		{"a start that comes after the end", []change{{"a", false, 0}, {"a", true, 1}, {"a", false, 0}}, []evacuation.Domain{{"a", false, 2}}},
-		{"an end that comes after the next start", []change{{"a", false, 0}, {"a", true, 1}, {"a", false, 2}, {"a", true, 1}}, []evacuation.Domain{{"a", true, 3}}},
+		{"a start that arrives after the end", []change{{"a", false, 0}, {"a", true, 1}, {"a", false, 0}}, []evacuation.Domain{{"a", false, 2}}},
+		{"an end that arrives after the next start", []change{{"a", false, 0}, {"a", true, 1}, {"a", false, 2}, {"a", true, 1}}, []evacuation.Domain{{"a", true, 3}}},
 		{"two domains", []change{{"b", false, 0}, {"a", false, 0}, {"b", true, 1}}, []evacuation.Domain{{"a", true, 2}, {"b", false, 3}}},
 	}
 	for _, c := range cases {
@@ -51,23 +51,23 @@
 	}
 }
 
-// A book that was restored goes on numbering where it was.
-func TestRestoredBookGoesOn(t *testing.T) {
+// A restored table continues the numbering of revisions.
+func TestRestoredTableContinuesRevisions(t *testing.T) {
 	b := evacuation.Restore([]evacuation.Domain{{"a", false, 7}, {"b", true, 4}})
 	if diff := cmp.Diff(evacuation.Domain{Name: "b", Revision: 8}, b.Change("b", true, 4)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Whatever the order in which control instances tell of a domain, and however late, the newest
-// revision holds, since the earliest time that any of them has known it.
-func TestKnownIsTheSameInAnyOrder(t *testing.T) {
+// Regardless of the order and the delay of the reports, the newest revision of a domain holds, with the
+// earliest time at which any control instance had it.
+func TestViewIsIndependentOfOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
-	type told struct {
+	type update struct {
 		d   evacuation.Domain
 		age time.Duration
 	}
-	all := []told{
+	all := []update{
 		{evacuation.Domain{Name: "a", Evacuated: true, Revision: 1}, 9 * time.Second},
 		{evacuation.Domain{Name: "a", Revision: 3}, 2 * time.Second},
 		{evacuation.Domain{Name: "a", Revision: 3}, 3 * time.Second},
