--- a/internal/state/chunks/assembly.go
+++ b/internal/state/chunks/assembly.go
@@ -36,8 +36,8 @@
 // Close frees the unpacker.
 func (a *Assembly) Close() { a.unpacker.Close() }
 
-// Want sets what the text consists of. It may be set anew: pieces that are here stay.
-func (a *Assembly) Want(refs []Ref) error {
+// SetRefs sets what the text consists of. It may be set anew: pieces that are here stay.
+func (a *Assembly) SetRefs(refs []Ref) error {
 	for _, ref := range refs {
 		if ref.Size < 1 || ref.Size > MaxBytes {
 			return errors.Errorf("a piece of %d bytes", ref.Size)
@@ -71,7 +71,7 @@
 		return errors.Wrap(err, "unpack a piece")
 	}
 	a.fetched += len(packed)
-	a.pieces[Name(piece)] = piece
+	a.pieces[NewID(piece)] = piece
 	return nil
 }
 
@@ -84,8 +84,8 @@
 	a.pieces = kept
 }
 
-// Fetched returns how many bytes were taken by Add, packed.
-func (a *Assembly) Fetched() int { return a.fetched }
+// FetchedBytes returns how many bytes were taken by Add, packed.
+func (a *Assembly) FetchedBytes() int { return a.fetched }
 
 // Text returns the whole text; ok is false while pieces are missing.
 func (a *Assembly) Text() (text *Text, ok bool) {
@@ -112,5 +112,5 @@
 // Bytes returns the text, which must not be changed.
 func (t *Text) Bytes() []byte { return t.bytes }
 
-// Pieces returns of how many pieces the text consists.
-func (t *Text) Pieces() int { return len(t.refs) }
+// ChunkCount returns of how many pieces the text consists.
+func (t *Text) ChunkCount() int { return len(t.refs) }
--- a/internal/state/chunks/chunks.go
+++ b/internal/state/chunks/chunks.go
@@ -35,8 +35,8 @@
 // ID names a piece by its content.
 type ID [idBytes]byte
 
-// Name returns the name of a piece.
-func Name(piece []byte) ID {
+// NewID returns the name of a piece.
+func NewID(piece []byte) ID {
 	digest := sha256.Sum256(piece)
 	return ID(digest[:idBytes])
 }
--- a/internal/state/chunks/chunks_test.go
+++ b/internal/state/chunks/chunks_test.go
@@ -26,7 +26,7 @@
 	return out.Bytes()
 }
 
-func put(t *testing.T, l *chunks.Library, text []byte) []chunks.Ref {
+func put(t *testing.T, l *chunks.Repository, text []byte) []chunks.Ref {
 	t.Helper()
 	if err := l.Put(text); err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(a.Close)
-	if err := a.Want(refs); err != nil {
+	if err := a.SetRefs(refs); err != nil {
 		t.Fatal(err)
 	}
 	return a
@@ -50,14 +50,14 @@
 
 // fetch takes what is missing from a library, a little at a time, and returns the text and how
 // many pieces were taken.
-func fetch(t *testing.T, a *chunks.Assembly, l *chunks.Library) (text *chunks.Text, pieces int) {
+func fetch(t *testing.T, a *chunks.Assembly, l *chunks.Repository) (text *chunks.Text, pieces int) {
 	t.Helper()
 	for {
 		text, ok := a.Text()
 		if ok {
 			return text, pieces
 		}
-		packed := l.Packed(a.Missing(3), 8<<10)
+		packed := l.Compressed(a.Missing(3), 8<<10)
 		if len(packed) == 0 {
 			t.Fatal("a missing piece is not in the library")
 		}
@@ -74,7 +74,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		line := rapid.SliceOfN(rapid.Byte(), 1, 400).Draw(rt, "line")
 		text := bytes.Repeat(line, rapid.IntRange(1, 1500).Draw(rt, "times"))
-		var l chunks.Library
+		var l chunks.Repository
 		got, _ := fetch(t, begin(t, nil, put(t, &l, text)), &l)
 		if !bytes.Equal(text, got.Bytes()) {
 			rt.Fatal("another text came back")
@@ -85,7 +85,7 @@
 // A change in the middle of a long text leaves all pieces but a few as they are.
 func TestVersionsSharePieces(t *testing.T) {
 	before, after := lines(40_000, -1), lines(40_000, 20_000)
-	var l chunks.Library
+	var l chunks.Repository
 	held, all := fetch(t, begin(t, nil, put(t, &l, before)), &l)
 	text, few := fetch(t, begin(t, held, put(t, &l, after)), &l)
 	if !bytes.Equal(after, text.Bytes()) {
@@ -99,7 +99,7 @@
 // Who began with an older text still gets the rest of it while some newer ones follow; what no
 // text consists of any more is dropped.
 func TestOlderTextsAreKeptForAWhile(t *testing.T) {
-	var l chunks.Library
+	var l chunks.Repository
 	first := put(t, &l, lines(2000, 0))
 	ids := func(refs []chunks.Ref) (out []chunks.ID) {
 		for _, ref := range refs {
@@ -107,7 +107,7 @@
 		}
 		return out
 	}
-	kept := func() int { return len(l.Packed(ids(first), 1<<30)) }
+	kept := func() int { return len(l.Compressed(ids(first), 1<<30)) }
 	for range 3 {
 		put(t, &l, lines(2000, 1))
 	}
@@ -122,7 +122,7 @@
 
 // What comes from elsewhere is refused if it is not what a library gives.
 func TestForeignPiecesAreRefused(t *testing.T) {
-	var l chunks.Library
+	var l chunks.Repository
 	refs := put(t, &l, lines(2000, -1))
 	a := begin(t, nil, refs)
 	packer, err := zstd.NewWriter(nil)
@@ -139,7 +139,7 @@
 		t.Error("a piece of another text counted")
 	}
 	for _, size := range []int{0, -1, chunks.MaxBytes + 1} {
-		if a.Want([]chunks.Ref{{Size: size}}) == nil {
+		if a.SetRefs([]chunks.Ref{{Size: size}}) == nil {
 			t.Errorf("a piece of %d bytes was accepted", size)
 		}
 	}
--- a/internal/state/chunks/library.go
+++ b/internal/state/chunks/library.go
@@ -9,9 +9,9 @@
 // them still gets the rest when some newer ones have followed. Only what differs takes room.
 const keptTexts = 4
 
-// Library holds the pieces of the newest texts of a source, packed. The zero value is empty.
+// Repository holds the pieces of the newest texts of a source, packed. The zero value is empty.
 // It is not safe for concurrent use.
-type Library struct {
+type Repository struct {
 	// texts holds what each of the last keptTexts texts consists of, the newest last.
 	texts [][]Ref
 	// packed holds the pieces of texts, and of nothing else.
@@ -19,7 +19,7 @@
 }
 
 // Put makes a text the newest.
-func (l *Library) Put(text []byte) error {
+func (l *Repository) Put(text []byte) error {
 	pieces, err := split(text)
 	if err != nil {
 		return err
@@ -42,11 +42,11 @@
 }
 
 // add packs a piece unless it is here.
-func (l *Library) add(piece []byte, packer *zstd.Encoder) Ref {
+func (l *Repository) add(piece []byte, packer *zstd.Encoder) Ref {
 	if l.packed == nil {
 		l.packed = map[ID][]byte{}
 	}
-	ref := Ref{ID: Name(piece), Size: len(piece)}
+	ref := Ref{ID: NewID(piece), Size: len(piece)}
 	if l.packed[ref.ID] == nil {
 		l.packed[ref.ID] = packer.EncodeAll(piece, nil)
 	}
@@ -54,7 +54,7 @@
 }
 
 // prune drops the pieces of texts that are not kept any more.
-func (l *Library) prune() {
+func (l *Repository) prune() {
 	kept := make(map[ID][]byte, len(l.packed))
 	for _, refs := range l.texts {
 		for _, ref := range refs {
@@ -66,7 +66,7 @@
 
 // Newest returns what the newest text consists of, and the size of all of it when packed. The
 // slice must not be changed.
-func (l *Library) Newest() (refs []Ref, packedBytes int) {
+func (l *Repository) Newest() (refs []Ref, packedBytes int) {
 	if len(l.texts) == 0 {
 		return nil, 0
 	}
@@ -77,9 +77,9 @@
 	return refs, packedBytes
 }
 
-// Packed returns the pieces that are here, in the order of ids, up to a number of bytes but
+// Compressed returns the pieces that are here, in the order of ids, up to a number of bytes but
 // one at least.
-func (l *Library) Packed(ids []ID, mostBytes int) [][]byte {
+func (l *Repository) Compressed(ids []ID, mostBytes int) [][]byte {
 	var out [][]byte
 	size := 0
 	for _, id := range ids {
--- a/internal/transport/fleet/configuration.go
+++ b/internal/transport/fleet/configuration.go
@@ -137,7 +137,7 @@
 			return true
 		}
 		c.f.avoid(address)
-		c.f.Log.Info().Str("event", "configuration_not_fetched").Uint64("version", wanted).Str("from", address).Int("fetched_bytes", c.assembly.Fetched()).Int("asked_bytes", c.bytes).Str("error", err.Error()).Msg("")
+		c.f.Log.Info().Str("event", "configuration_not_fetched").Uint64("version", wanted).Str("from", address).Int("fetched_bytes", c.assembly.FetchedBytes()).Int("asked_bytes", c.bytes).Str("error", err.Error()).Msg("")
 	}
 	// No source gave anything: what the text consists of is asked anew, as whoever told it may
 	// be gone, and others may cut it otherwise.
@@ -255,7 +255,7 @@
 	if out.Version <= c.f.settled() {
 		return errors.Errorf("it has version %d only", out.Version)
 	}
-	err = c.assembly.Want(refs)
+	err = c.assembly.SetRefs(refs)
 	if err != nil {
 		return err
 	}
@@ -319,7 +319,7 @@
 	c.f.joinInstances()
 	c.f.publish()
 	c.f.Log.Info().Str("event", "configuration_in_force").Uint64("version", config.Version).Str("from", address).Int("routes", len(config.Routes)).
-		Int("bytes", len(text.Bytes())).Int("pieces", text.Pieces()).Int("fetched_bytes", c.assembly.Fetched()).Dur("took_ms", clock.Since(c.began)).Msg("")
+		Int("bytes", len(text.Bytes())).Int("pieces", text.ChunkCount()).Int("fetched_bytes", c.assembly.FetchedBytes()).Dur("took_ms", clock.Since(c.began)).Msg("")
 	c.began = clock.Now()
 	return nil
 }
--- a/internal/transport/fleet/source_configuration.go
+++ b/internal/transport/fleet/source_configuration.go
@@ -26,7 +26,7 @@
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 	version uint64
-	library chunks.Library
+	library chunks.Repository
 }
 
 // ConfigurationPieces tells what the configuration's text consists of, or gives pieces of it.
@@ -92,13 +92,13 @@
 	}
 	out := &wire.ConfigurationResponse{Version: t.version}
 	if len(in.Pieces) > 0 {
-		out.Packed = t.library.Packed(toIDs(in.Pieces), min(int(in.MostBytes), maxPiecesBytes))
+		out.Packed = t.library.Compressed(toIDs(in.Pieces), min(int(in.MostBytes), maxPiecesBytes))
 		return out, nil
 	}
 	refs, size := t.library.Newest()
 	out.Manifest = fromRefs(refs)
 	if size <= inlineBytes {
-		out.Packed = t.library.Packed(idsOf(refs), size)
+		out.Packed = t.library.Compressed(idsOf(refs), size)
 	}
 	return out, nil
 }
