--- a/internal/state/outcome/outcome.go
+++ b/internal/state/outcome/outcome.go
@@ -1,9 +1,9 @@
-// Package outcome holds the sealed set of results that a request can have.
+// Package outcome defines the closed set of outcomes of a request.
 //
-// The invariant that the rest of the system leans on: NotRun is only ever
-// produced when the upstream cannot have run the request, and Unknown is
-// produced whenever nobody can tell. A caller who is told "not run" may safely
-// send a quote or a work order again.
+// The rest of the system relies on this invariant: NotRun is only produced when
+// no upstream can have run the request, and Unknown whenever this cannot be
+// determined. A caller that receives "not run" can safely send a request that is
+// not idempotent again, such as a quote or a work order.
 package outcome
 
 import "time"
@@ -11,33 +11,33 @@
 // Outcome is one of Answered, NotRun, Unknown or Failed.
 type Outcome interface{ sealed() }
 
-// Answered says that the whole answer to this request reached the caller's side.
+// Answered is the outcome of a request whose complete answer reached the calling side.
 type Answered struct {
 	// Status is the HTTP status of the upstream's answer, 200 to 599.
 	Status int
 }
 
-// NotRun says that the request ran nowhere.
+// NotRun is the outcome of a request that no upstream has run.
 type NotRun struct {
-	// RetryAfter is how long the caller should wait; it is rounded up to whole
-	// seconds on the wire and is never zero there.
+	// RetryAfter is how long the caller should wait before a retry. On the wire it is
+	// rounded up to whole seconds and is never zero.
 	RetryAfter time.Duration
-	// Reason is a typed cause, for callers, logs and metrics.
+	// Reason is the cause, for callers, logs and metrics.
 	Reason Reason
 }
 
-// Unknown says that the request may have run, wholly or in part.
+// Unknown is the outcome of a request that may have run, completely or in part.
 type Unknown struct {
-	// Detail is an operator-readable cause.
+	// Detail is the cause in words, for operators.
 	Detail string
 }
 
-// CallerGone is the outcome of a request whose caller left before it had an answer.
+// CallerGone is the outcome of a request whose caller disconnected before it had an answer.
 var CallerGone = Unknown{Detail: "the caller has gone"}
 
-// Failed says that the request reached an upstream, ran, and gave no whole answer.
+// Failed is the outcome of a request that ran at an upstream without a complete answer.
 type Failed struct {
-	// Detail is an operator-readable cause.
+	// Detail is the cause in words, for operators.
 	Detail string
 }
 
@@ -46,7 +46,7 @@
 func (Unknown) sealed()  {}
 func (Failed) sealed()   {}
 
-// Reason names why a request was not run.
+// Reason is the reason why a request was not run.
 type Reason string
 
 // The reasons for which a request is not run.
@@ -66,17 +66,17 @@
 	ReasonOldWeights    Reason = "old_weights"
 	ReasonEvacuated     Reason = "evacuated"
 	ReasonCallerLeft    Reason = "caller_left"
-	// ReasonEndsInstances says that instances ended under the request, and ReasonUnderWay that the
-	// same one is under way, under which one did.
+	// ReasonEndsInstances means that instances ended while they ran the request, and ReasonUnderWay that
+	// an identical request, during which an instance ended, is still in flight.
 	ReasonEndsInstances Reason = "ends_instances"
 	ReasonUnderWay      Reason = "under_way"
-	// ReasonLimited says that the upstreams have limits, and get as many requests as they take.
+	// ReasonLimited means that the upstreams receive as many requests as their limits allow.
 	ReasonLimited Reason = "upstream_limited"
-	// ReasonResting says that the upstreams asked for rest.
+	// ReasonResting means that the upstreams asked for a backoff.
 	ReasonResting Reason = "upstream_resting"
 )
 
-// Label is the short name of an outcome for metrics, logs and the caller's header.
+// Label returns the short name of an outcome for metrics, logs and the header of the response.
 func Label(o Outcome) string {
 	switch o.(type) {
 	case Answered:
