--- a/internal/protocol/wire/results.go
+++ b/internal/protocol/wire/results.go
@@ -28,9 +28,9 @@
 	switch result := result.(type) {
 	case ledger.Granted:
 		return &ReserveResponse{Result: ReserveResponse_GRANTED}
-	case ledger.Known:
+	case ledger.Existing:
 		return &ReserveResponse{Result: ReserveResponse_KNOWN, Record: FromRecord(result.Record)}
-	case ledger.OtherBody:
+	case ledger.BodyMismatch:
 		return &ReserveResponse{Result: ReserveResponse_OTHER_BODY}
 	case ledger.Expired:
 		return &ReserveResponse{Result: ReserveResponse_EXPIRED}
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// Result is one of Applied, Reservation, Recorded, Token, Held, Evacuated or Malformed.
+// Result is one of Applied, Reservation, RecordResult, Token, CurrentVersion, Evacuated or Malformed.
 type Result interface{ result() }
 
 // Applied is the result of an apply command.
@@ -73,16 +73,16 @@
 // Reservation is the result of a reserve command.
 type Reservation struct{ Result ReserveResult }
 
-// Recorded is the result of a finish or release command; OK is false when the
+// RecordResult is the result of a finish or release command; OK is false when the
 // record is not the holder's.
-type Recorded struct{ OK bool }
+type RecordResult struct{ OK bool }
 
 // Token is the result of taking a token.
 type Token struct{ Value uint64 }
 
-// Held is the result of installing a configuration, or of naming or requiring weights: the
+// CurrentVersion is the result of installing a configuration, or of naming or requiring weights: the
 // version that holds afterwards.
-type Held struct{ Version uint64 }
+type CurrentVersion struct{ Version uint64 }
 
 // Evacuated is the result of starting or ending an evacuation: the failure domain as it is then.
 type Evacuated struct{ Domain evacuation.Domain }
@@ -91,13 +91,13 @@
 // nothing.
 type Malformed struct{}
 
-func (Applied) result()     {}
-func (Reservation) result() {}
-func (Recorded) result()    {}
-func (Token) result()       {}
-func (Held) result()        {}
-func (Evacuated) result()   {}
-func (Malformed) result()   {}
+func (Applied) result()        {}
+func (Reservation) result()    {}
+func (RecordResult) result()   {}
+func (Token) result()          {}
+func (CurrentVersion) result() {}
+func (Evacuated) result()      {}
+func (Malformed) result()      {}
 
 // Execute carries out one command.
 func (l *Ledger) Execute(data []byte) Result {
@@ -114,9 +114,9 @@
 	case *command.Command_Reserve:
 		return Reservation{l.reserve(body.Reserve)}
 	case *command.Command_Finish:
-		return Recorded{l.finish(body.Finish)}
+		return RecordResult{l.finish(body.Finish)}
 	case *command.Command_Release:
-		return Recorded{l.release(body.Release)}
+		return RecordResult{l.release(body.Release)}
 	case *command.Command_TakeToken:
 		l.token++
 		l.tokenHolder = body.TakeToken.Holder
@@ -125,15 +125,15 @@
 		if body.Install.Version > l.installed.Version {
 			l.installed = Installed{body.Install.Version, body.Install.Text}
 		}
-		return Held{l.installed.Version}
+		return CurrentVersion{l.installed.Version}
 	case *command.Command_NameWeights:
 		model := body.NameWeights.Model
 		l.weights[model] = max(l.weights[model], body.NameWeights.Version)
-		return Held{l.weights[model]}
+		return CurrentVersion{l.weights[model]}
 	case *command.Command_RequireWeights:
 		model := body.RequireWeights.Model
 		l.required[model] = max(l.required[model], min(body.RequireWeights.Version, l.weights[model]))
-		return Held{l.required[model]}
+		return CurrentVersion{l.required[model]}
 	case *command.Command_Evacuate:
 		return Evacuated{l.evacuate(body.Evacuate)}
 	}
@@ -182,8 +182,8 @@
 // until the next Execute.
 func (l *Ledger) Declared() *declared.State { return l.declared }
 
-// Records returns the number of records kept.
-func (l *Ledger) Records() int { return len(l.records) }
+// RecordCount returns the number of records kept.
+func (l *Ledger) RecordCount() int { return len(l.records) }
 
 // Token returns the highest token given and its holder.
 func (l *Ledger) Token() (value uint64, holder string) { return l.token, l.tokenHolder }
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -46,7 +46,7 @@
 	switch r := r.(ledger.Reservation).Result.(type) {
 	case ledger.Granted:
 		return "granted"
-	case ledger.Known:
+	case ledger.Existing:
 		return fmt.Sprint("known ", r.Record.Phase(), " ", r.Record.Holder())
 	default:
 		return fmt.Sprintf("%T", r)
@@ -58,11 +58,11 @@
 	if answered {
 		c.Answer = &command.Answer{Status: 200, Body: []byte("ok"), Kept: true}
 	}
-	return g.execute(at, &command.Command{Body: &command.Command_Finish{Finish: c}}).(ledger.Recorded).OK
+	return g.execute(at, &command.Command{Body: &command.Command_Finish{Finish: c}}).(ledger.RecordResult).OK
 }
 
 func (g *log) release(at time.Duration, key, holder string) bool {
-	return g.execute(at, &command.Command{Body: &command.Command_Release{Release: &command.Release{Team: "t", Key: key, Holder: holder}}}).(ledger.Recorded).OK
+	return g.execute(at, &command.Command{Body: &command.Command_Release{Release: &command.Release{Team: "t", Key: key, Holder: holder}}}).(ledger.RecordResult).OK
 }
 
 func TestRecords(t *testing.T) {
@@ -86,7 +86,7 @@
 		g.reserve(day, "other", "a", "x"), // time never falls
 	}
 	want := []any{
-		"granted", "granted", "known 1 a", "ledger.OtherBody", false, true, "granted", false,
+		"granted", "granted", "known 1 a", "ledger.BodyMismatch", false, true, "granted", false,
 		"known 3 b", true, "known 2 b", false, false, "ledger.Expired", "ledger.Expired", "granted",
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/state/ledger/records.go
+++ b/internal/state/ledger/records.go
@@ -73,17 +73,17 @@
 	return tombstone(sum[:16])
 }
 
-// ReserveResult is one of Granted, Known, OtherBody, Expired or Full.
+// ReserveResult is one of Granted, Existing, BodyMismatch, Expired or Full.
 type ReserveResult interface{ reserveResult() }
 
 // Granted lets the holder dispatch the call, once.
 type Granted struct{}
 
-// Known says that the key is taken by the same request.
-type Known struct{ Record Record }
+// Existing says that the key is taken by the same request.
+type Existing struct{ Record Record }
 
-// OtherBody says that the key is taken by a request with another body.
-type OtherBody struct{}
+// BodyMismatch says that the key is taken by a request with another body.
+type BodyMismatch struct{}
 
 // Expired says that the key is too old to be told from one that has run, or that the holder took the
 // reservation back before.
@@ -92,11 +92,11 @@
 // Full says that no more keys can be remembered.
 type Full struct{}
 
-func (Granted) reserveResult()   {}
-func (Known) reserveResult()     {}
-func (OtherBody) reserveResult() {}
-func (Expired) reserveResult()   {}
-func (Full) reserveResult()      {}
+func (Granted) reserveResult()      {}
+func (Existing) reserveResult()     {}
+func (BodyMismatch) reserveResult() {}
+func (Expired) reserveResult()      {}
+func (Full) reserveResult()         {}
 
 func (l *Ledger) reserve(c *command.Reserve) ReserveResult {
 	id := identity{c.Team, c.Key}
@@ -127,7 +127,7 @@
 
 func (l *Ledger) reserveKnown(id identity, r Record, c *command.Reserve) ReserveResult {
 	if !bytes.Equal(r.digest, c.Digest) {
-		return OtherBody{}
+		return BodyMismatch{}
 	}
 	if r.phase == Reserved && r.holder == c.Holder {
 		// The holder asks again because its answer was lost.
@@ -137,7 +137,7 @@
 		r.phase = Unresolved
 		l.records[id] = r
 	}
-	return Known{Record: r}
+	return Existing{Record: r}
 }
 
 func (l *Ledger) finish(c *command.Finish) bool {
--- a/internal/transport/control/effects.go
+++ b/internal/transport/control/effects.go
@@ -151,7 +151,7 @@
 			result = r.Ledger.Execute(e.Data)
 			r.noteDeclared(before)
 			switch result := result.(type) {
-			case ledger.Held:
+			case ledger.CurrentVersion:
 				r.publishInstalled()
 				r.Log.Info().Str("event", "held").Uint64("index", e.Index).Uint64("version", result.Version).Msg("")
 			case ledger.Evacuated:
--- a/internal/transport/control/service.go
+++ b/internal/transport/control/service.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	recorded := result.(ledger.Recorded).OK
+	recorded := result.(ledger.RecordResult).OK
 	s.r.Log.Info().Str("event", "finish").Str("run", in.Holder).Str("team", in.Team).Str("end", in.End.String()).Bool("recorded", recorded).Msg("")
 	return &wire.FinishResponse{Recorded: recorded}, nil
 }
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &wire.InstallResponse{Held: result.(ledger.Held).Version}, nil
+	return &wire.InstallResponse{Held: result.(ledger.CurrentVersion).Version}, nil
 }
 
 // Installed reads the whole configuration.
--- a/internal/transport/control/view.go
+++ b/internal/transport/control/view.go
@@ -74,7 +74,7 @@
 		Committed:     m.Commit(),
 		AppliedIndex:  m.Commit(),
 		Revision:      r.Ledger.Declared().Revision(),
-		Records:       uint64(r.Ledger.Records()),
+		Records:       uint64(r.Ledger.RecordCount()),
 		Repair:        r.repair,
 		Blank:         m.LastIndex() == 0 && m.Term() == 0,
 	}
