--- a/internal/state/chunks/chunks.go
+++ b/internal/state/chunks/chunks.go
@@ -1,9 +1,9 @@
-// Package chunks cuts a long text into pieces that are moved, and kept, one by one.
+// Package chunks splits a long text into chunks that are transferred and stored separately.
 //
-// The borders of the pieces follow the content (Muthitacharoen and others, A Low-bandwidth
-// Network File System, 2001), and a piece is named by its digest. So two versions of a text share nearly all pieces, a reader that holds
-// one version needs only what changed, and what it has fetched counts whichever source it asks
-// next and whichever version it ends up with.
+// Chunk boundaries depend on the content (Muthitacharoen et al., A Low-bandwidth Network File
+// System, 2001), and a chunk is identified by its digest. Two versions of a text therefore share
+// nearly all chunks: a reader that has one version fetches only the chunks that changed. Chunks
+// that it has fetched stay valid when it continues at another source or with another version.
 package chunks
 
 import (
@@ -17,31 +17,31 @@
 )
 
 const (
-	// averageBits sets how long a piece is on average, 16 KB behind the smallest size: a small
-	// change of a text of any size moves one or two of them, and pieces of JSON of that size
-	// pack to a fifth.
+	// averageBits sets the average length of a chunk, 16 KB beyond minBytes: a small change to
+	// a text of any size affects one or two chunks, and JSON chunks of that size compress to a
+	// fifth.
 	averageBits = 14
-	// minBytes is the smallest size of a piece, but for a text's last.
+	// minBytes is the smallest size of a chunk, except for the last one of a text.
 	minBytes = 4 << 10
-	// MaxBytes is the largest size of a piece.
+	// MaxBytes is the largest size of a chunk.
 	MaxBytes = 64 << 10
-	// polynomial is an irreducible one for the rolling hash; any would do, but all sources must
-	// use the same to cut alike.
+	// polynomial is the irreducible polynomial of the rolling hash. Any one works, but all
+	// sources must use the same one to produce the same chunk boundaries.
 	polynomial = chunker.Pol(0x3DA3358B4DC173)
-	// idBytes is the length of an ID: 128 bits of a SHA-256 do not collide.
+	// idBytes is the length of an ID: collisions are negligible with 128 bits of a SHA-256.
 	idBytes = 16
 )
 
-// ID names a piece by its content.
+// ID identifies a chunk by its content: the first bytes of its SHA-256 digest.
 type ID [idBytes]byte
 
-// NewID returns the name of a piece.
-func NewID(piece []byte) ID {
-	digest := sha256.Sum256(piece)
+// NewID computes the ID of a chunk.
+func NewID(chunk []byte) ID {
+	digest := sha256.Sum256(chunk)
 	return ID(digest[:idBytes])
 }
 
-// ParseID reads an ID that came from elsewhere; ok is false unless it has the right length.
+// ParseID converts an ID received from another process; ok is false unless it has the right length.
 func ParseID(b []byte) (id ID, ok bool) {
 	if len(b) != idBytes {
 		return ID{}, false
@@ -49,37 +49,37 @@
 	return ID(b), true
 }
 
-// Ref is one piece of a text.
+// Ref identifies one chunk of a text.
 type Ref struct {
 	ID ID
-	// Size is the piece's length in bytes, from 1 to MaxBytes.
+	// Size is the chunk's uncompressed length in bytes, from 1 to MaxBytes.
 	Size int
 }
 
-// split cuts a text into pieces, which share its memory.
+// split splits a text into chunks, which are slices of it.
 func split(text []byte) ([][]byte, error) {
-	cutter := chunker.NewWithBoundaries(bytes.NewReader(text), polynomial, minBytes, MaxBytes)
-	cutter.SetAverageBits(averageBits)
+	splitter := chunker.NewWithBoundaries(bytes.NewReader(text), polynomial, minBytes, MaxBytes)
+	splitter.SetAverageBits(averageBits)
 	buffer := make([]byte, 0, MaxBytes)
-	var pieces [][]byte
+	var chunks [][]byte
 	for {
-		piece, err := cutter.Next(buffer)
+		chunk, err := splitter.Next(buffer)
 		if errors.Is(err, io.EOF) {
-			return pieces, nil
+			return chunks, nil
 		}
 		if err != nil {
 			return nil, errors.Wrap(err, "cut a text")
 		}
-		pieces = append(pieces, text[piece.Start:piece.Start+piece.Length])
+		chunks = append(chunks, text[chunk.Start:chunk.Start+chunk.Length])
 	}
 }
 
-// newPacker returns what packs pieces; its tables and window are those of one piece.
-func newPacker() (*zstd.Encoder, error) {
+// newEncoder returns a zstd encoder whose tables and window are sized for one chunk.
+func newEncoder() (*zstd.Encoder, error) {
 	return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(MaxBytes))
 }
 
-// newUnpacker returns what unpacks pieces, and refuses whatever unpacks to more than one.
-func newUnpacker() (*zstd.Decoder, error) {
+// newDecoder returns a zstd decoder that rejects input which decompresses to more than MaxBytes.
+func newDecoder() (*zstd.Decoder, error) {
 	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(MaxBytes))
 }
--- a/internal/state/chunks/chunks_test.go
+++ b/internal/state/chunks/chunks_test.go
@@ -13,7 +13,7 @@
 	"github.com/shedrock/shedrock/internal/state/chunks"
 )
 
-// lines is a text of so many lines, of which one may be different.
+// lines returns a text of n lines; the line at index different, if any, has other content.
 func lines(n, different int) []byte {
 	out := &bytes.Buffer{}
 	for i := range n {
@@ -26,7 +26,7 @@
 	return out.Bytes()
 }
 
-func put(t *testing.T, l *chunks.Repository, text []byte) []chunks.Ref {
+func putText(t *testing.T, l *chunks.Repository, text []byte) []chunks.Ref {
 	t.Helper()
 	if err := l.Put(text); err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 	return refs
 }
 
-func begin(t *testing.T, held *chunks.Text, refs []chunks.Ref) *chunks.Assembly {
+func newAssembly(t *testing.T, held *chunks.Text, refs []chunks.Ref) *chunks.Assembly {
 	t.Helper()
 	a, err := chunks.NewAssembly(held)
 	if err != nil {
@@ -48,59 +48,59 @@
 	return a
 }
 
-// fetch takes what is missing from a library, a little at a time, and returns the text and how
-// many pieces were taken.
-func fetch(t *testing.T, a *chunks.Assembly, l *chunks.Repository) (text *chunks.Text, pieces int) {
+// fetch copies missing chunks from a repository, a few at a time, until the text is complete. It
+// returns the text and the number of chunks copied.
+func fetch(t *testing.T, a *chunks.Assembly, l *chunks.Repository) (text *chunks.Text, fetched int) {
 	t.Helper()
 	for {
 		text, ok := a.Text()
 		if ok {
-			return text, pieces
+			return text, fetched
 		}
-		packed := l.Compressed(a.Missing(3), 8<<10)
-		if len(packed) == 0 {
-			t.Fatal("a missing piece is not in the library")
+		compressed := l.Compressed(a.Missing(3), 8<<10)
+		if len(compressed) == 0 {
+			t.Fatal("a missing chunk is not in the repository")
 		}
-		for _, piece := range packed {
-			pieces++
-			if err := a.Add(piece); err != nil {
+		for _, chunk := range compressed {
+			fetched++
+			if err := a.Add(chunk); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 }
 
-func TestTextsComeBackAsTheyWere(t *testing.T) {
+func TestTextsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		line := rapid.SliceOfN(rapid.Byte(), 1, 400).Draw(rt, "line")
 		text := bytes.Repeat(line, rapid.IntRange(1, 1500).Draw(rt, "times"))
 		var l chunks.Repository
-		got, _ := fetch(t, begin(t, nil, put(t, &l, text)), &l)
+		got, _ := fetch(t, newAssembly(t, nil, putText(t, &l, text)), &l)
 		if !bytes.Equal(text, got.Bytes()) {
-			rt.Fatal("another text came back")
+			rt.Fatal("the reassembled text differs")
 		}
 	})
 }
 
-// A change in the middle of a long text leaves all pieces but a few as they are.
-func TestVersionsSharePieces(t *testing.T) {
+// A change in the middle of a long text changes only a few chunks.
+func TestVersionsShareChunks(t *testing.T) {
 	before, after := lines(40_000, -1), lines(40_000, 20_000)
 	var l chunks.Repository
-	held, all := fetch(t, begin(t, nil, put(t, &l, before)), &l)
-	text, few := fetch(t, begin(t, held, put(t, &l, after)), &l)
+	held, all := fetch(t, newAssembly(t, nil, putText(t, &l, before)), &l)
+	text, few := fetch(t, newAssembly(t, held, putText(t, &l, after)), &l)
 	if !bytes.Equal(after, text.Bytes()) {
-		t.Error("another text came back")
+		t.Error("the reassembled text differs")
 	}
 	if all < 50 || few > 3 {
-		t.Errorf("%d pieces at first, %d after a small change", all, few)
+		t.Errorf("fetched %d chunks at first, %d after a small change", all, few)
 	}
 }
 
-// Who began with an older text still gets the rest of it while some newer ones follow; what no
-// text consists of any more is dropped.
-func TestOlderTextsAreKeptForAWhile(t *testing.T) {
+// A reader that has begun to fetch a text can finish while a few newer ones are put. Chunks
+// that no retained text contains are dropped.
+func TestOlderTextsAreRetained(t *testing.T) {
 	var l chunks.Repository
-	first := put(t, &l, lines(2000, 0))
+	first := putText(t, &l, lines(2000, 0))
 	ids := func(refs []chunks.Ref) (out []chunks.ID) {
 		for _, ref := range refs {
 			out = append(out, ref.ID)
@@ -109,38 +109,39 @@
 	}
 	kept := func() int { return len(l.Compressed(ids(first), 1<<30)) }
 	for range 3 {
-		put(t, &l, lines(2000, 1))
+		putText(t, &l, lines(2000, 1))
 	}
 	if diff := cmp.Diff(len(first), kept()); diff != "" {
 		t.Error(diff)
 	}
-	put(t, &l, lines(2000, 1))
+	putText(t, &l, lines(2000, 1))
 	if kept() >= len(first) {
-		t.Error("the first text's pieces are all kept")
+		t.Error("no chunk of the first text was dropped")
 	}
 }
 
-// What comes from elsewhere is refused if it is not what a library gives.
-func TestForeignPiecesAreRefused(t *testing.T) {
+// Chunks, chunk lists and IDs from another process are rejected when a Repository would not
+// produce them; a valid chunk of another text does not count as one of this text.
+func TestInvalidChunksAreRejected(t *testing.T) {
 	var l chunks.Repository
-	refs := put(t, &l, lines(2000, -1))
-	a := begin(t, nil, refs)
-	packer, err := zstd.NewWriter(nil)
+	refs := putText(t, &l, lines(2000, -1))
+	a := newAssembly(t, nil, refs)
+	encoder, err := zstd.NewWriter(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a.Add(packer.EncodeAll(make([]byte, 1<<20), nil)) == nil {
-		t.Error("a piece that unpacks to a megabyte was taken")
+	if a.Add(encoder.EncodeAll(make([]byte, 1<<20), nil)) == nil {
+		t.Error("a chunk that decompresses to 1 MiB was accepted")
 	}
 	if a.Add([]byte("no piece")) == nil {
-		t.Error("what does not unpack was taken")
+		t.Error("data that is not zstd was accepted")
 	}
-	if a.Add(packer.EncodeAll([]byte("another text's"), nil)) != nil || len(a.Missing(1000)) != len(slices.Compact(refs)) {
-		t.Error("a piece of another text counted")
+	if a.Add(encoder.EncodeAll([]byte("another text's"), nil)) != nil || len(a.Missing(1000)) != len(slices.Compact(refs)) {
+		t.Error("a chunk of another text counted as one of this text")
 	}
 	for _, size := range []int{0, -1, chunks.MaxBytes + 1} {
 		if a.SetRefs([]chunks.Ref{{Size: size}}) == nil {
-			t.Errorf("a piece of %d bytes was accepted", size)
+			t.Errorf("a chunk size of %d bytes was accepted", size)
 		}
 	}
 	if _, ok := chunks.ParseID([]byte("short")); ok {
--- a/internal/state/chunks/library.go
+++ b/internal/state/chunks/library.go
@@ -5,93 +5,94 @@
 	"github.com/pkg/errors"
 )
 
-// keptTexts is of how many texts a Library keeps the pieces: a reader that began with one of
-// them still gets the rest when some newer ones have followed. Only what differs takes room.
-const keptTexts = 4
+// retainedTexts is the number of texts whose chunks a Repository retains, so that a reader that
+// has begun to fetch one of them can finish after newer ones were put. Texts share their equal
+// chunks, so only the differences take memory.
+const retainedTexts = 4
 
-// Repository holds the pieces of the newest texts of a source, packed. The zero value is empty.
+// Repository holds the compressed chunks of a source's newest texts. The zero value is empty.
 // It is not safe for concurrent use.
 type Repository struct {
-	// texts holds what each of the last keptTexts texts consists of, the newest last.
+	// texts holds the chunk lists of the last retainedTexts texts, the newest last.
 	texts [][]Ref
-	// packed holds the pieces of texts, and of nothing else.
-	packed map[ID][]byte
+	// compressed holds the chunks of texts, and no others.
+	compressed map[ID][]byte
 }
 
-// Put makes a text the newest.
+// Put adds a text as the newest one.
 func (l *Repository) Put(text []byte) error {
-	pieces, err := split(text)
+	chunks, err := split(text)
 	if err != nil {
 		return err
 	}
-	packer, err := newPacker()
+	encoder, err := newEncoder()
 	if err != nil {
 		return errors.Wrap(err, "pack a text")
 	}
-	defer func() { _ = packer.Close() }()
-	refs := make([]Ref, 0, len(pieces))
-	for _, piece := range pieces {
-		refs = append(refs, l.add(piece, packer))
+	defer func() { _ = encoder.Close() }()
+	refs := make([]Ref, 0, len(chunks))
+	for _, chunk := range chunks {
+		refs = append(refs, l.add(chunk, encoder))
 	}
 	l.texts = append(l.texts, refs)
-	if len(l.texts) > keptTexts {
+	if len(l.texts) > retainedTexts {
 		l.texts = l.texts[1:]
 	}
 	l.prune()
 	return nil
 }
 
-// add packs a piece unless it is here.
-func (l *Repository) add(piece []byte, packer *zstd.Encoder) Ref {
-	if l.packed == nil {
-		l.packed = map[ID][]byte{}
+// add compresses and stores a chunk unless it is already stored.
+func (l *Repository) add(chunk []byte, encoder *zstd.Encoder) Ref {
+	if l.compressed == nil {
+		l.compressed = map[ID][]byte{}
 	}
-	ref := Ref{ID: NewID(piece), Size: len(piece)}
-	if l.packed[ref.ID] == nil {
-		l.packed[ref.ID] = packer.EncodeAll(piece, nil)
+	ref := Ref{ID: NewID(chunk), Size: len(chunk)}
+	if l.compressed[ref.ID] == nil {
+		l.compressed[ref.ID] = encoder.EncodeAll(chunk, nil)
 	}
 	return ref
 }
 
-// prune drops the pieces of texts that are not kept any more.
+// prune drops chunks that no retained text contains.
 func (l *Repository) prune() {
-	kept := make(map[ID][]byte, len(l.packed))
+	kept := make(map[ID][]byte, len(l.compressed))
 	for _, refs := range l.texts {
 		for _, ref := range refs {
-			kept[ref.ID] = l.packed[ref.ID]
+			kept[ref.ID] = l.compressed[ref.ID]
 		}
 	}
-	l.packed = kept
+	l.compressed = kept
 }
 
-// Newest returns what the newest text consists of, and the size of all of it when packed. The
-// slice must not be changed.
-func (l *Repository) Newest() (refs []Ref, packedBytes int) {
+// Newest returns the chunk list of the newest text, and the compressed size of all its chunks.
+// The caller must not modify the slice.
+func (l *Repository) Newest() (refs []Ref, compressedBytes int) {
 	if len(l.texts) == 0 {
 		return nil, 0
 	}
 	refs = l.texts[len(l.texts)-1]
 	for _, ref := range refs {
-		packedBytes += len(l.packed[ref.ID])
+		compressedBytes += len(l.compressed[ref.ID])
 	}
-	return refs, packedBytes
+	return refs, compressedBytes
 }
 
-// Compressed returns the pieces that are here, in the order of ids, up to a number of bytes but
-// one at least.
-func (l *Repository) Compressed(ids []ID, mostBytes int) [][]byte {
+// Compressed returns the stored chunks among ids, compressed and in the order of ids, until
+// maxBytes would be exceeded, but at least one. IDs that are not stored are skipped.
+func (l *Repository) Compressed(ids []ID, maxBytes int) [][]byte {
 	var out [][]byte
 	size := 0
 	for _, id := range ids {
-		piece := l.packed[id]
-		if piece == nil {
+		chunk := l.compressed[id]
+		if chunk == nil {
 			continue
 		}
-		size += len(piece)
-		if len(out) > 0 && size > mostBytes {
+		size += len(chunk)
+		if len(out) > 0 && size > maxBytes {
 			break
 		}
-		out = append(out, piece)
+		out = append(out, chunk)
 	}
 	return out
 }
