--- a/internal/cli/operate.go
+++ b/internal/cli/operate.go
@@ -33,7 +33,7 @@
 			docs = append(docs, d)
 		}
 	}
-	faults += report(p, state.CheckTogether(docs))
+	faults += report(p, state.CheckReferences(docs))
 	if faults > 0 {
 		return failure{exitFailed, errors.Errorf("%d faults in %d files", faults, len(c.Files))}
 	}
--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -86,10 +86,10 @@
 // ApplyDeclared updates the planner to the declared state. Only upstreams and stores of the entry's
 // own region are used.
 func (pl *Planner) ApplyDeclared(s *declared.State) {
-	pl.superseded = s.AllSuperseded()
+	pl.superseded = s.SupersededVersions()
 	pl.weights = routing.Weights{FirstToken: s.Control().FirstTokenWeight(), Recompute: s.Control().RecomputeWeight()}
 	present := map[string]bool{}
-	for _, u := range s.UpstreamsNear(pl.domain) {
+	for _, u := range s.UpstreamsInRegionOf(pl.domain) {
 		present[u.Name()] = true
 		pl.applyUpstream(u, s.Evacuated(u.FailureDomain()))
 	}
--- a/internal/state/declared/evacuated.go
+++ b/internal/state/declared/evacuated.go
@@ -7,17 +7,17 @@
 	return slices.Contains(s.evacuated, failureDomain)
 }
 
-// AllEvacuated returns the failure domains that are evacuated, in the order of their names.
-func (s *State) AllEvacuated() []string { return slices.Clone(s.evacuated) }
+// EvacuatedDomains returns the failure domains that are evacuated, in the order of their names.
+func (s *State) EvacuatedDomains() []string { return slices.Clone(s.evacuated) }
 
 // Evacuate sets the failure domains that are evacuated, which is a change as any other.
 func (s *State) Evacuate(failureDomains []string) {
-	s.SetEvacuated(failureDomains)
+	s.SetEvacuatedDomains(failureDomains)
 	s.revision++
 }
 
-// SetEvacuated takes what AllEvacuated says where the state came from; it is for processes that
+// SetEvacuatedDomains takes what AllEvacuated says where the state came from; it is for processes that
 // follow a control replica and were told everything.
-func (s *State) SetEvacuated(failureDomains []string) {
+func (s *State) SetEvacuatedDomains(failureDomains []string) {
 	s.evacuated = slices.Sorted(slices.Values(failureDomains))
 }
--- a/internal/state/declared/state.go
+++ b/internal/state/declared/state.go
@@ -276,9 +276,9 @@
 // Stores returns every declared store, in the order of the document.
 func (s *State) Stores() []Store { return s.index.stores }
 
-// UpstreamsNear returns the declared upstreams in the region of a failure domain, in
+// UpstreamsInRegionOf returns the declared upstreams in the region of a failure domain, in
 // the order of the document.
-func (s *State) UpstreamsNear(failureDomain string) []Upstream {
+func (s *State) UpstreamsInRegionOf(failureDomain string) []Upstream {
 	var out []Upstream
 	for _, u := range s.index.upstreams {
 		if s.SameRegion(u.FailureDomain(), failureDomain) {
@@ -361,10 +361,10 @@
 	return names
 }
 
-// CheckTogether returns the dangling references that would be left if all the
+// CheckReferences returns the dangling references that would be left if all the
 // documents were in force together. References into a kind of which no document is
 // given cannot be checked here, and are left to Apply.
-func (s *State) CheckTogether(docs []*Document) []Fault {
+func (s *State) CheckReferences(docs []*Document) []Fault {
 	together := s.Clone()
 	for _, d := range docs {
 		together.docs[d.kind] = d
--- a/internal/state/declared/superseded.go
+++ b/internal/state/declared/superseded.go
@@ -17,13 +17,13 @@
 	}
 }
 
-// AllSuperseded returns, by model, the weight version that was declared before the one in force;
+// SupersededVersions returns, by model, the weight version that was declared before the one in force;
 // a model whose version never changed has none.
-func (s *State) AllSuperseded() map[string]string { return maps.Clone(s.superseded) }
+func (s *State) SupersededVersions() map[string]string { return maps.Clone(s.superseded) }
 
-// SetSuperseded takes what AllSuperseded says where the state came from; it is for
+// SetSupersededVersions takes what AllSuperseded says where the state came from; it is for
 // processes that follow a control replica and were told every document.
-func (s *State) SetSuperseded(versions map[string]string) {
+func (s *State) SetSupersededVersions(versions map[string]string) {
 	s.superseded = map[string]string{}
 	maps.Copy(s.superseded, versions)
 }
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -211,7 +211,7 @@
 		t.Fatal(err)
 	}
 	for name, l := range map[string]*ledger.Ledger{"first": l, "restored": again} {
-		if diff := cmp.Diff([]string{"a"}, l.Declared().AllEvacuated()); diff != "" || l.Declared().Revision() != 3 {
+		if diff := cmp.Diff([]string{"a"}, l.Declared().EvacuatedDomains()); diff != "" || l.Declared().Revision() != 3 {
 			t.Errorf("%s: revision %d, %s", name, l.Declared().Revision(), diff)
 		}
 		if diff := cmp.Diff(uint64(2), l.Evacuations().Domain("a").Revision); diff != "" {
--- a/internal/transport/entry/poll.go
+++ b/internal/transport/entry/poll.go
@@ -43,7 +43,7 @@
 // upstream; mu must be held.
 func (e *Entry) syncPollers(ctx context.Context, state *declared.State) {
 	present := map[string]bool{}
-	for _, u := range state.UpstreamsNear(e.FailureDomain) {
+	for _, u := range state.UpstreamsInRegionOf(e.FailureDomain) {
 		key := u.Name() + " " + u.Address()
 		present[key] = true
 		if _, ok := e.pollerCancels[key]; ok {
--- a/internal/transport/entry/rate.go
+++ b/internal/transport/entry/rate.go
@@ -88,7 +88,7 @@
 // without upstreams it returns 1, since there is nothing to divide.
 func slotShare(state *declared.State, failureDomain string, includes func(domain string) bool) float64 {
 	total, included := 0, 0
-	for _, u := range state.UpstreamsNear(failureDomain) {
+	for _, u := range state.UpstreamsInRegionOf(failureDomain) {
 		total += u.Slots()
 		if includes(u.FailureDomain()) {
 			included += u.Slots()
--- a/internal/transport/feed/feed.go
+++ b/internal/transport/feed/feed.go
@@ -207,8 +207,8 @@
 		}
 	}
 	out.Full = true
-	out.Superseded = f.state.AllSuperseded()
-	out.Evacuated = f.state.AllEvacuated()
+	out.Superseded = f.state.SupersededVersions()
+	out.Evacuated = f.state.EvacuatedDomains()
 	for _, kind := range declared.Kinds() {
 		d, ok := f.state.Document(kind)
 		if ok {
--- a/internal/transport/feed/follower.go
+++ b/internal/transport/feed/follower.go
@@ -141,8 +141,8 @@
 	next := state.Clone()
 	next.Install(answer.Revision, docs...)
 	if answer.Full {
-		next.SetSuperseded(answer.Superseded)
-		next.SetEvacuated(answer.Evacuated)
+		next.SetSupersededVersions(answer.Superseded)
+		next.SetEvacuatedDomains(answer.Evacuated)
 	}
 	return next, nil
 }
