--- a/internal/state/ledger/keytime.go
+++ b/internal/state/ledger/keytime.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// KeyTime returns the time that a key itself carries: keys that are UUIDs of
-// version 7 begin with the milliseconds since 1970. Such a key is refused once
-// it is older than the retention, so nothing has to be remembered about it for
-// longer. Example: "0190163d-8694-739b-aea5-966c26f8ad91".
+// KeyTime returns the timestamp of a key that is a UUID of version 7, which begins
+// with the Unix time in milliseconds. Such a key is refused once it is older than the
+// retention, so it needs no tombstone.
+// Example: "0190163d-8694-739b-aea5-966c26f8ad91".
 func KeyTime(key string) (t time.Time, ok bool) {
 	const uuidLength = 36
 	if len(key) != uuidLength || key[14] != '7' {
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -1,9 +1,8 @@
-// Package ledger is the state above the control log: the declared state, the
-// at-most-once records, and the tokens that fence orders.
+// Package ledger is the state machine that is replicated by the control log: the declared
+// state, the at-most-once records, and the fencing tokens of orders.
 //
 // It changes only by Execute, which is deterministic: every replica that
-// executes the same commands in the same order holds the same ledger. It is not
-// safe for concurrent use.
+// executes the same commands in the same order has the same state.
 package ledger
 
 import (
@@ -18,33 +17,35 @@
 	"github.com/shedrock/shedrock/internal/state/evacuation"
 )
 
-// Ledger is the state. Make one with New or Unmarshal.
+// Ledger is the replicated state. Create one with New or Unmarshal. It is not safe for
+// concurrent use.
 type Ledger struct {
-	// now is the log's time in milliseconds since 1970; it never falls.
+	// now is the highest time of any command so far, in Unix milliseconds; it never decreases.
 	now      int64
 	declared *declared.State
-	records  map[identity]Record
-	// order holds the identities of records by age; released ones may linger.
-	order          []identity
+	records  map[callID]Record
+	// order holds the ids of records, the oldest first. It may still contain released ones.
+	order          []callID
 	tombstones     map[tombstone]int64
 	tombstoneOrder []tombstone
-	// released holds those who took a reservation back before it was known, each with when, and
-	// releasedOrder the same by age: their reservations may still come.
+	// released maps the holders that released a reservation to the time of the release, as a delayed
+	// reservation of such a holder may still arrive. releasedOrder holds the same holders, the oldest
+	// first.
 	released      map[string]int64
 	releasedOrder []string
-	// token only rises; the holder of the highest may give orders.
+	// token never decreases; only the holder of the highest one may issue orders.
 	token       uint64
 	tokenHolder string
-	// installed is the whole configuration with the highest version so far.
+	// installed is the configuration with the highest version so far.
 	installed Installed
-	// weights holds the highest weight version named for each model, and required the one
-	// before which no request may begin any more, which is never above it.
+	// weights holds the highest weights version announced for each model, and required the oldest
+	// one on which a request may still begin, which is never above it.
 	weights, required map[string]uint64
 	evacuations       *evacuation.Table
 }
 
-// Installed is a whole configuration as its operator sent it. It is a plain value;
-// version 0 means that there is none.
+// Installed is a complete configuration as the operator sent it; version 0 means that
+// there is none.
 type Installed struct {
 	Version uint64
 	Text    []byte
@@ -54,7 +55,7 @@
 func New() *Ledger {
 	return &Ledger{
 		declared:   declared.New(),
-		records:    map[identity]Record{},
+		records:    map[callID]Record{},
 		tombstones: map[tombstone]int64{},
 		released:   map[string]int64{},
 		weights:    map[string]uint64{},
@@ -73,22 +74,22 @@
 // Reservation is the result of a reserve command.
 type Reservation struct{ Result ReserveResult }
 
-// RecordResult is the result of a finish or release command; OK is false when the
-// record is not the holder's.
+// RecordResult is the result of a finish or release command; OK is false if the command did
+// not apply to the record, as when another holder has it.
 type RecordResult struct{ OK bool }
 
-// Token is the result of taking a token.
+// Token is the result of a command that takes a token.
 type Token struct{ Value uint64 }
 
-// CurrentVersion is the result of installing a configuration, or of naming or requiring weights: the
-// version that holds afterwards.
+// CurrentVersion is the result of installing a configuration, or of announcing or requiring weights:
+// the version in force afterwards.
 type CurrentVersion struct{ Version uint64 }
 
-// Evacuated is the result of starting or ending an evacuation: the failure domain as it is then.
+// Evacuated is the result of starting or ending an evacuation: the state of the failure domain afterwards.
 type Evacuated struct{ Domain evacuation.Domain }
 
-// Malformed says that a command holds nothing that this binary knows. It changes
-// nothing.
+// Malformed is the result of a command that this version cannot decode. The command has no
+// effect except on the time.
 type Malformed struct{}
 
 func (Applied) result()        {}
@@ -99,7 +100,7 @@
 func (Evacuated) result()      {}
 func (Malformed) result()      {}
 
-// Execute carries out one command.
+// Execute executes one encoded command.
 func (l *Ledger) Execute(data []byte) Result {
 	var c command.Command
 	err := proto.Unmarshal(data, &c)
@@ -140,17 +141,17 @@
 	return Malformed{}
 }
 
-// Installed returns the whole configuration that holds.
+// Installed returns the configuration in force.
 func (l *Ledger) Installed() Installed { return l.installed }
 
-// Weights returns the newest weight version named for each model, as a copy.
+// Weights returns a copy of the newest weights version announced for each model.
 func (l *Ledger) Weights() map[string]uint64 { return maps.Clone(l.weights) }
 
-// RequiredWeights returns the version of each model before which no request may begin any
-// more, as a copy.
+// RequiredWeights returns a copy of the oldest weights version of each model on which a request may
+// begin.
 func (l *Ledger) RequiredWeights() map[string]uint64 { return maps.Clone(l.required) }
 
-// evacuate makes the declared state say what the book does.
+// evacuate changes the evacuation of a failure domain and copies the result to the declared state.
 func (l *Ledger) evacuate(c *command.Evacuate) evacuation.Domain {
 	before := l.evacuations.Domain(c.Domain)
 	d := l.evacuations.Change(c.Domain, c.End, c.Seen)
@@ -167,7 +168,7 @@
 	return d
 }
 
-// Evacuations returns the failure domains that were evacuated, which must not be changed.
+// Evacuations returns the failure domains that were evacuated. The caller must not modify the table.
 func (l *Ledger) Evacuations() *evacuation.Table { return l.evacuations }
 
 func (l *Ledger) apply(c *command.Apply) declared.Result {
@@ -178,14 +179,14 @@
 	return l.declared.Apply(d)
 }
 
-// Declared returns the declared state. It must not be changed, and is only valid
-// until the next Execute.
+// Declared returns the declared state. The caller must not modify it, and it is only valid
+// until the next call of Execute.
 func (l *Ledger) Declared() *declared.State { return l.declared }
 
-// RecordCount returns the number of records kept.
+// RecordCount returns the number of at-most-once records.
 func (l *Ledger) RecordCount() int { return len(l.records) }
 
-// Token returns the highest token given and its holder.
+// Token returns the highest token issued and its holder.
 func (l *Ledger) Token() (value uint64, holder string) { return l.token, l.tokenHolder }
 
 // Marshal encodes the ledger for a snapshot.
@@ -207,7 +208,7 @@
 	for _, d := range l.evacuations.All() {
 		out.Evacuations = append(out.Evacuations, &command.Evacuation{Domain: d.Name, Evacuated: d.Evacuated, Revision: d.Revision})
 	}
-	written := map[identity]bool{}
+	written := map[callID]bool{}
 	for _, id := range l.order {
 		r, ok := l.records[id]
 		if !ok || written[id] {
@@ -257,7 +258,7 @@
 		return nil, err
 	}
 	for _, r := range in.Records {
-		id := identity{r.Team, r.Key}
+		id := callID{r.Team, r.Key}
 		l.records[id] = Record{digest: r.Digest, holder: r.Holder, at: r.At, phase: Phase(r.Phase), answer: r.Answer}
 		l.order = append(l.order, id)
 	}
@@ -267,7 +268,7 @@
 	}
 	for _, t := range in.Tombstones {
 		if len(t.Digest) != len(tombstone{}) {
-			return nil, errors.New("decode ledger: a tombstone of the wrong length")
+			return nil, errors.New("decode ledger: tombstone digest has the wrong length")
 		}
 		l.tombstones[tombstone(t.Digest)] = t.At
 		l.tombstoneOrder = append(l.tombstoneOrder, tombstone(t.Digest))
@@ -275,8 +276,8 @@
 	return l, nil
 }
 
-// Record returns the record of one call.
+// Record returns the record of a call.
 func (l *Ledger) Record(team, key string) (Record, bool) {
-	r, ok := l.records[identity{team, key}]
+	r, ok := l.records[callID{team, key}]
 	return r, ok
 }
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -15,13 +15,13 @@
 
 const day = 24 * time.Hour
 
-// log executes commands and restarts the ledger from a snapshot after each.
-type log struct {
+// restartingLedger executes commands, and restores the ledger from a snapshot after each.
+type restartingLedger struct {
 	t *testing.T
 	l *ledger.Ledger
 }
 
-func (g *log) execute(at time.Duration, c *command.Command) ledger.Result {
+func (g *restartingLedger) execute(at time.Duration, c *command.Command) ledger.Result {
 	g.t.Helper()
 	c.At = at.Milliseconds()
 	data, err := proto.Marshal(c)
@@ -40,7 +40,7 @@
 	return result
 }
 
-func (g *log) reserve(at time.Duration, key, holder, body string) string {
+func (g *restartingLedger) reserve(at time.Duration, key, holder, body string) string {
 	g.t.Helper()
 	r := g.execute(at, &command.Command{Body: &command.Command_Reserve{Reserve: &command.Reserve{Team: "t", Key: key, Digest: []byte(body), Holder: holder}}})
 	switch r := r.(ledger.Reservation).Result.(type) {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (g *log) finish(at time.Duration, key, holder string, answered bool) bool {
+func (g *restartingLedger) finish(at time.Duration, key, holder string, answered bool) bool {
 	c := &command.Finish{Team: "t", Key: key, Holder: holder}
 	if answered {
 		c.Answer = &command.Answer{Status: 200, Body: []byte("ok"), Kept: true}
@@ -61,29 +61,29 @@
 	return g.execute(at, &command.Command{Body: &command.Command_Finish{Finish: c}}).(ledger.RecordResult).OK
 }
 
-func (g *log) release(at time.Duration, key, holder string) bool {
+func (g *restartingLedger) release(at time.Duration, key, holder string) bool {
 	return g.execute(at, &command.Command{Body: &command.Command_Release{Release: &command.Release{Team: "t", Key: key, Holder: holder}}}).(ledger.RecordResult).OK
 }
 
 func TestRecords(t *testing.T) {
-	g := &log{t, ledger.New()}
+	g := &restartingLedger{t, ledger.New()}
 	got := []any{
 		g.reserve(0, "k", "a", "x"),
-		g.reserve(0, "k", "a", "x"), // the answer was lost
+		g.reserve(0, "k", "a", "x"), // retry after a lost response
 		g.reserve(0, "k", "b", "x"),
 		g.reserve(0, "k", "b", "y"),
-		g.release(0, "k", "b"), // not its own
+		g.release(0, "k", "b"), // not the holder
 		g.release(0, "k", "a"),
 		g.reserve(0, "k", "b", "x"),
-		g.finish(0, "k", "a", true), // not its own
+		g.finish(0, "k", "a", true), // not the holder
 		g.reserve(11*time.Minute, "k", "c", "x"),
-		g.finish(12*time.Minute, "k", "b", true), // late, but the truth
+		g.finish(12*time.Minute, "k", "b", true), // after the timeout, but authoritative
 		g.reserve(12*time.Minute, "k", "c", "x"),
 		g.finish(12*time.Minute, "k", "b", false),
 		g.release(12*time.Minute, "k", "b"),
-		g.reserve(2*day, "k", "d", "x"),   // beyond the retention
-		g.reserve(300*day, "k", "d", "x"), // the tombstone still stands
-		g.reserve(day, "other", "a", "x"), // time never falls
+		g.reserve(2*day, "k", "d", "x"),   // after the retention
+		g.reserve(300*day, "k", "d", "x"), // the tombstone is still kept
+		g.reserve(day, "other", "a", "x"), // the time does not go back
 	}
 	want := []any{
 		"granted", "granted", "known 1 a", "ledger.BodyMismatch", false, true, "granted", false,
@@ -94,15 +94,15 @@
 	}
 }
 
-// uuid7 is a key that carries a time.
+// uuid7 returns a UUID of version 7 with the given time.
 func uuid7(at time.Duration, n int) string {
 	hex := fmt.Sprintf("%012x", at.Milliseconds())
 	return fmt.Sprintf("%s-%s-7000-8000-%012x", hex[:8], hex[8:], n)
 }
 
-// TestDatedKeys are refused by their own time, so nothing is remembered for long.
-func TestDatedKeys(t *testing.T) {
-	g := &log{t, ledger.New()}
+// Keys with timestamps are refused by their own time, so they need no tombstones.
+func TestKeysWithTimestamps(t *testing.T) {
+	g := &restartingLedger{t, ledger.New()}
 	base := 1000 * day
 	old, fresh, future := uuid7(base-25*time.Hour, 1), uuid7(base, 2), uuid7(base+time.Hour, 3)
 	got := []string{
@@ -118,8 +118,8 @@
 	}
 }
 
-func TestTokensOnlyRise(t *testing.T) {
-	g := &log{t, ledger.New()}
+func TestTokensIncrease(t *testing.T) {
+	g := &restartingLedger{t, ledger.New()}
 	for want := uint64(1); want <= 3; want++ {
 		r := g.execute(0, &command.Command{Body: &command.Command_TakeToken{TakeToken: &command.TakeToken{Holder: "h"}}})
 		if diff := cmp.Diff(ledger.Token{Value: want}, r); diff != "" {
@@ -128,9 +128,9 @@
 	}
 }
 
-// What is required of weights only rises, is never above what was named, and outlives a restart.
-func TestRequiredWeightsOnlyRise(t *testing.T) {
-	g := &log{t, ledger.New()}
+// The required weights version never decreases, never exceeds the announced one, and survives a restart.
+func TestRequiredWeightsNeverDecrease(t *testing.T) {
+	g := &restartingLedger{t, ledger.New()}
 	name := func(version uint64) {
 		g.execute(0, &command.Command{Body: &command.Command_NameWeights{NameWeights: &command.NameWeights{Model: "m", Version: version}}})
 	}
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestUnknownCommandsChangeNothing(t *testing.T) {
+func TestUnknownCommandsAreRejected(t *testing.T) {
 	l := ledger.New()
 	for _, data := range [][]byte{nil, []byte("garbage"), {0x08, 0x01}} {
 		if _, ok := l.Execute(data).(ledger.Malformed); !ok {
@@ -188,7 +188,7 @@
 	}
 }
 
-// What is evacuated is part of the declared state, at a revision of its own, and of the snapshot.
+// Evacuations are part of the declared state, whose revision they increase, and of the snapshot.
 func TestEvacuationsChangeTheDeclaredState(t *testing.T) {
 	l := ledger.New()
 	evacuate := func(domain string, end bool, seen uint64) {
@@ -220,10 +220,10 @@
 	}
 }
 
-// The pattern: the leader stands still with a reservation that it has not read yet; its holder gives
-// up, tells the caller that nothing ran, and takes it back; the leader goes on and finds the two in the
-// other order. The key is free for whoever asks next, also after a snapshot.
-func TestReservationThatComesAfterItsReleaseHoldsNothing(t *testing.T) {
+// A suspended leader has not read a reservation yet. Its holder gives up, reports to the caller that
+// nothing ran, and releases the reservation; the leader resumes and reads the two in reverse order. The
+// reservation must be refused and the key stay free for the next holder, even after a snapshot.
+func TestReservationAfterItsReleaseIsRefused(t *testing.T) {
 	l := ledger.New()
 	execute := func(body *command.Command) ledger.Result {
 		t.Helper()
@@ -247,13 +247,13 @@
 		t.Fatal(err)
 	}
 	if _, granted := reserve("gone", start+1).(ledger.Reservation).Result.(ledger.Granted); granted {
-		t.Error("a reservation was granted whose holder had taken it back")
+		t.Error("a reservation was granted after its holder released it")
 	}
 	if _, granted := reserve("next", start+2).(ledger.Reservation).Result.(ledger.Granted); !granted {
 		t.Error("the key is not free")
 	}
 	execute(&command.Command{At: start, Body: &command.Command_Release{Release: &command.Release{Team: "t", Key: "k", Holder: "next"}}})
 	if _, granted := reserve("gone", start+time.Hour.Milliseconds()).(ledger.Reservation).Result.(ledger.Granted); !granted {
-		t.Error("a release is remembered for ever")
+		t.Error("a release is retained beyond its retention time")
 	}
 }
--- a/internal/state/ledger/records.go
+++ b/internal/state/ledger/records.go
@@ -8,43 +8,42 @@
 	"github.com/shedrock/shedrock/internal/state/command"
 )
 
-// Phase is how far an at-most-once call has come.
+// Phase is the phase of an at-most-once call.
 type Phase uint32
 
 // The phases of a record.
 const (
-	// Reserved: the holder alone may dispatch, and may have done so.
+	// Reserved means that only the holder may dispatch the call, and may have done so.
 	Reserved Phase = iota + 1
-	// Finished: the call ran, and its answer may be kept.
+	// Finished means that the call ran; its answer may be recorded.
 	Finished
-	// Unresolved: the call may have run, and nobody can tell.
+	// Unresolved means that it cannot be determined whether the call ran.
 	Unresolved
 )
 
-// reservedLimit is how long a reservation counts as in progress. It only changes
-// what a caller is told, "in progress" or "unknown"; the call is never run again.
-const reservedLimit = 10 * time.Minute
+// reservationTimeout is how long a reservation counts as in progress. It only affects
+// the response to the caller, "in progress" or "unknown"; the call is never run again.
+const reservationTimeout = 10 * time.Minute
 
 const (
-	// releasedFor is how long a holder who took a reservation back is remembered: a leader that stood
-	// still for longer is not the leader any more. maxReleased bounds their number.
-	releasedFor = time.Minute
-	maxReleased = 4096
+	// releasedRetention is how long a holder that released a reservation is retained: a leader that was
+	// suspended for longer is no longer the leader. maxReleased bounds the number of holders.
+	releasedRetention = time.Minute
+	maxReleased       = 4096
 )
 
-// TombstoneRetention is how long the digest of an expired record still refuses
-// its key.
+// TombstoneRetention is how long the key of an expired record is refused.
 const TombstoneRetention = 400 * 24 * time.Hour
 
-// MaxTombstones bounds the digests kept: 100,000 calls a day for ten days, or
-// 2,500 a day for 400. When it is reached, new keys without a date of their own
-// are refused rather than old ones forgotten.
+// MaxTombstones bounds the number of tombstones: 100,000 calls a day for ten days, or
+// 2,500 a day for 400. When it is reached, new keys without a timestamp are
+// refused, and no tombstone is dropped early.
 const MaxTombstones = 1_000_000
 
-// futureSlack is how far a dated key may run ahead of the log's time.
-const futureSlack = 5 * time.Minute
+// maxClockSkew is how far the timestamp of a key may be ahead of the ledger's time.
+const maxClockSkew = 5 * time.Minute
 
-// Record is the state of one at-most-once call. It is an immutable value.
+// Record is the immutable state of one at-most-once call.
 type Record struct {
 	digest []byte
 	holder string
@@ -53,22 +52,22 @@
 	answer *command.Answer
 }
 
-// Phase returns how far the call has come.
+// Phase returns the phase of the call.
 func (r Record) Phase() Phase { return r.phase }
 
-// Holder returns the one attempt that may dispatch.
+// Holder returns the id of the only attempt that may dispatch the call.
 func (r Record) Holder() string { return r.holder }
 
-// Answer returns the recorded answer, or nil when there is none.
+// Answer returns the recorded answer, or nil if there is none.
 func (r Record) Answer() *command.Answer { return r.answer }
 
-// identity names a record. Teams never share keys.
-type identity struct{ team, key string }
+// callID identifies a record. Keys of different teams are independent.
+type callID struct{ team, key string }
 
 // tombstone is the digest of an identity.
 type tombstone [16]byte
 
-func (i identity) tombstone() tombstone {
+func (i callID) tombstone() tombstone {
 	sum := sha256.Sum256([]byte(i.team + "\x00" + i.key))
 	return tombstone(sum[:16])
 }
@@ -76,20 +75,20 @@
 // ReserveResult is one of Granted, Existing, BodyMismatch, Expired or Full.
 type ReserveResult interface{ reserveResult() }
 
-// Granted lets the holder dispatch the call, once.
+// Granted means that the holder may dispatch the call once.
 type Granted struct{}
 
-// Existing says that the key is taken by the same request.
+// Existing means that the key is in use by the same request.
 type Existing struct{ Record Record }
 
-// BodyMismatch says that the key is taken by a request with another body.
+// BodyMismatch means that the key is in use by a request with another body.
 type BodyMismatch struct{}
 
-// Expired says that the key is too old to be told from one that has run, or that the holder took the
-// reservation back before.
+// Expired means that the key is refused: it may belong to an earlier call whose record has expired, its
+// timestamp is too far in the future, or the holder released its reservation before.
 type Expired struct{}
 
-// Full says that no more keys can be remembered.
+// Full means that no more keys can be recorded.
 type Full struct{}
 
 func (Granted) reserveResult()      {}
@@ -99,17 +98,17 @@
 func (Full) reserveResult()         {}
 
 func (l *Ledger) reserve(c *command.Reserve) ReserveResult {
-	id := identity{c.Team, c.Key}
+	id := callID{c.Team, c.Key}
 	if _, gone := l.released[c.Holder]; gone {
 		return Expired{}
 	}
 	if r, ok := l.records[id]; ok {
-		return l.reserveKnown(id, r, c)
+		return l.reserveExisting(id, r, c)
 	}
-	dated, hasDate := KeyTime(c.Key)
-	if hasDate {
+	timestamp, hasTimestamp := KeyTime(c.Key)
+	if hasTimestamp {
 		now := time.UnixMilli(l.now)
-		if dated.Before(now.Add(-l.declared.Control().Retention())) || dated.After(now.Add(futureSlack)) {
+		if timestamp.Before(now.Add(-l.declared.Control().Retention())) || timestamp.After(now.Add(maxClockSkew)) {
 			return Expired{}
 		}
 	} else {
@@ -125,15 +124,15 @@
 	return Granted{}
 }
 
-func (l *Ledger) reserveKnown(id identity, r Record, c *command.Reserve) ReserveResult {
+func (l *Ledger) reserveExisting(id callID, r Record, c *command.Reserve) ReserveResult {
 	if !bytes.Equal(r.digest, c.Digest) {
 		return BodyMismatch{}
 	}
 	if r.phase == Reserved && r.holder == c.Holder {
-		// The holder asks again because its answer was lost.
+		// The holder retries because the response was lost.
 		return Granted{}
 	}
-	if r.phase == Reserved && l.now-r.at > reservedLimit.Milliseconds() {
+	if r.phase == Reserved && l.now-r.at > reservationTimeout.Milliseconds() {
 		r.phase = Unresolved
 		l.records[id] = r
 	}
@@ -141,7 +140,7 @@
 }
 
 func (l *Ledger) finish(c *command.Finish) bool {
-	id := identity{c.Team, c.Key}
+	id := callID{c.Team, c.Key}
 	r, ok := l.records[id]
 	if !ok || r.holder != c.Holder || r.phase == Finished {
 		return false
@@ -155,39 +154,39 @@
 	return true
 }
 
-// release forgets a reservation whose holder sent nothing. Its place in order
+// release removes a reservation whose holder has not dispatched the call. Its entry in l.order
 // stays until it expires.
 func (l *Ledger) release(c *command.Release) bool {
-	id := identity{c.Team, c.Key}
+	id := callID{c.Team, c.Key}
 	r, ok := l.records[id]
 	if ok && (r.holder != c.Holder || r.phase != Reserved) {
 		return false
 	}
-	l.noteReleased(c.Holder)
+	l.addReleased(c.Holder)
 	delete(l.records, id)
 	return ok
 }
 
-// noteReleased remembers a holder whose reservation may still come: a leader that stood still may read
-// it later than the release.
-func (l *Ledger) noteReleased(holder string) {
+// addReleased records a holder whose reservation may still arrive: a leader that was suspended may read
+// it after the release.
+func (l *Ledger) addReleased(holder string) {
 	if _, known := l.released[holder]; known {
 		return
 	}
 	if len(l.releasedOrder) >= maxReleased {
-		l.forgetReleased()
+		l.removeOldestReleased()
 	}
 	l.released[holder] = l.now
 	l.releasedOrder = append(l.releasedOrder, holder)
 }
 
-func (l *Ledger) forgetReleased() {
+func (l *Ledger) removeOldestReleased() {
 	delete(l.released, l.releasedOrder[0])
 	l.releasedOrder = l.releasedOrder[1:]
 }
 
-// expire turns the records past their retention into tombstones, and forgets
-// the tombstones past theirs. Each step looks only at the oldest.
+// expire replaces records past their retention by tombstones, and removes released holders and
+// tombstones past theirs. All three are ordered by age, so only the oldest need to be checked.
 func (l *Ledger) expire() {
 	limit := l.now - l.declared.Control().Retention().Milliseconds()
 	for len(l.order) > 0 {
@@ -206,8 +205,8 @@
 			l.tombstoneOrder = append(l.tombstoneOrder, id.tombstone())
 		}
 	}
-	for len(l.releasedOrder) > 0 && l.now-l.released[l.releasedOrder[0]] > releasedFor.Milliseconds() {
-		l.forgetReleased()
+	for len(l.releasedOrder) > 0 && l.now-l.released[l.releasedOrder[0]] > releasedRetention.Milliseconds() {
+		l.removeOldestReleased()
 	}
 	limit = l.now - TombstoneRetention.Milliseconds()
 	for len(l.tombstoneOrder) > 0 && l.tombstones[l.tombstoneOrder[0]] <= limit {
