--- a/internal/transport/fleet/follower.go
+++ b/internal/transport/fleet/follower.go
@@ -97,7 +97,7 @@
 		// One connection a poll at most, and none that outlives a cut: a poll that
 		// times out closes its connection.
 		f.client = &http.Client{Timeout: pollTimeout, Transport: &http.Transport{
-			DialContext: netdial.NewQuick(dialTimeout).DialContext,
+			DialContext: netdial.NewAdaptiveDialer(dialTimeout).DialContext,
 		}}
 		f.merged = registry.Merged{Grace: silentBeats * f.Heartbeat, Declared: f.declared}
 		f.named = map[string]weights.History{}
--- a/internal/transport/netdial/quick.go
+++ b/internal/transport/netdial/quick.go
@@ -16,11 +16,11 @@
 	timeoutFactor = 4
 )
 
-// Quick opens connections to addresses that come and go. It gives up an attempt soon, so
+// AdaptiveDialer opens connections to addresses that come and go. It gives up an attempt soon, so
 // that a machine that starts is reached by the next attempt and not after a long timeout;
 // the time doubles with each failure in a row, up to a bound, and follows what the address
-// takes. Make one with NewQuick. It is safe for concurrent use.
-type Quick struct {
+// takes. Make one with NewAdaptiveDialer. It is safe for concurrent use.
+type AdaptiveDialer struct {
 	most time.Duration
 
 	mu sync.Mutex
@@ -28,13 +28,13 @@
 	timeouts map[string]time.Duration
 }
 
-// NewQuick returns a dialer whose attempts take up to most.
-func NewQuick(most time.Duration) *Quick {
-	return &Quick{most: most, timeouts: map[string]time.Duration{}}
+// NewAdaptiveDialer returns a dialer whose attempts take up to most.
+func NewAdaptiveDialer(most time.Duration) *AdaptiveDialer {
+	return &AdaptiveDialer{most: most, timeouts: map[string]time.Duration{}}
 }
 
 // DialContext makes one attempt.
-func (q *Quick) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+func (q *AdaptiveDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	timeout := q.timeout(address)
 	began := time.Now()
 	c, err := Dialer(timeout).DialContext(ctx, network, address)
@@ -48,7 +48,7 @@
 	return c, err
 }
 
-func (q *Quick) timeout(address string) time.Duration {
+func (q *AdaptiveDialer) timeout(address string) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	timeout, ok := q.timeouts[address]
--- a/internal/transport/netdial/quick_test.go
+++ b/internal/transport/netdial/quick_test.go
@@ -45,7 +45,7 @@
 func TestQuickGivesUpSoonFirst(t *testing.T) {
 	dead := fullListener(t)
 	const most = 300 * time.Millisecond
-	q := netdial.NewQuick(most)
+	q := netdial.NewAdaptiveDialer(most)
 	for i, want := range []time.Duration{100, 200, 300, 300} {
 		want *= time.Millisecond
 		began := time.Now()
--- a/internal/transport/netdial/shared.go
+++ b/internal/transport/netdial/shared.go
@@ -21,12 +21,12 @@
 // errNotServed ends an attempt whose caller did not get the connection that another one has made.
 var errNotServed = errors.New("netdial: a connection was made meanwhile, and did not serve")
 
-// Shared makes one attempt at a time to reach an address. It is for clients whose connections carry
+// SharedDialer makes one attempt at a time to reach an address. It is for clients whose connections carry
 // many calls at once, as those of HTTP/2: with no connection, they begin an attempt for each call, so
 // that after the loss of a process all calls of all its callers connect to the next. Those who wait
-// meanwhile share a failure, and are served by the connection otherwise. Make one with NewShared. It
+// meanwhile share a failure, and are served by the connection otherwise. Make one with NewSharedDialer. It
 // is safe for concurrent use.
-type Shared struct {
+type SharedDialer struct {
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu sync.Mutex
@@ -43,13 +43,13 @@
 	abandoned bool
 }
 
-// NewShared returns a dialer whose attempts are made by dial.
-func NewShared(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Shared {
-	return &Shared{dial: dial, attempts: map[string]*attempt{}}
+// NewSharedDialer returns a dialer whose attempts are made by dial.
+func NewSharedDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) *SharedDialer {
+	return &SharedDialer{dial: dial, attempts: map[string]*attempt{}}
 }
 
 // DialContext makes an attempt, or waits for the one that is under way.
-func (s *Shared) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+func (s *SharedDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	for {
 		a, mine := s.join(address)
 		if mine {
@@ -76,7 +76,7 @@
 }
 
 // join returns the attempt that is under way at an address, or begins one.
-func (s *Shared) join(address string) (a *attempt, mine bool) {
+func (s *SharedDialer) join(address string) (a *attempt, mine bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a, ok := s.attempts[address]
@@ -88,7 +88,7 @@
 }
 
 // connect makes the attempt that was begun.
-func (s *Shared) connect(ctx context.Context, a *attempt, network, address string) (net.Conn, error) {
+func (s *SharedDialer) connect(ctx context.Context, a *attempt, network, address string) (net.Conn, error) {
 	c, err := s.dial(ctx, network, address)
 	a.err = err
 	a.abandoned = err != nil && ctx.Err() != nil
@@ -102,7 +102,7 @@
 }
 
 // end lets the next attempt at an address begin.
-func (s *Shared) end(address string) {
+func (s *SharedDialer) end(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.attempts, address)
--- a/internal/transport/netdial/shared_test.go
+++ b/internal/transport/netdial/shared_test.go
@@ -39,7 +39,7 @@
 
 // atOnce makes so many attempts at once, and returns how many made a connection and how long all
 // of them took.
-func atOnce(ctx context.Context, s *netdial.Shared, attempts int) (made int64, took time.Duration) {
+func atOnce(ctx context.Context, s *netdial.SharedDialer, attempts int) (made int64, took time.Duration) {
 	began := time.Now()
 	var connected atomic.Int64
 	var wg sync.WaitGroup
@@ -59,7 +59,7 @@
 func TestAttemptsAtOnceShareOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &dials{}
-		s := netdial.NewShared(d.dial)
+		s := netdial.NewSharedDialer(d.dial)
 		d.down.Store(true)
 		made, took := atOnce(t.Context(), s, 100)
 		if made != 0 || d.n.Load() != 1 || took != 50*time.Millisecond {
@@ -81,7 +81,7 @@
 func TestAttemptThatIsAbandonedFailsNobodyElse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &dials{}
-		s := netdial.NewShared(d.dial)
+		s := netdial.NewSharedDialer(d.dial)
 		leaving, leave := context.WithCancel(t.Context())
 		first := make(chan error, 1)
 		go func() {
--- a/internal/transport/netdial/silent_test.go
+++ b/internal/transport/netdial/silent_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	quick := netdial.NewQuick(time.Second)
+	quick := netdial.NewAdaptiveDialer(time.Second)
 	for name, dial := range map[string]func(context.Context, string, string) (net.Conn, error){
 		"plain": netdial.Dialer(time.Second).DialContext, "quick": quick.DialContext,
 	} {
--- a/internal/transport/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -32,7 +32,7 @@
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Client{Transport: &http.Transport{
 		Protocols:       &protocols,
-		DialContext:     netdial.NewShared(netdial.NewQuick(dialTimeout).DialContext).DialContext,
+		DialContext:     netdial.NewSharedDialer(netdial.NewAdaptiveDialer(dialTimeout).DialContext).DialContext,
 		IdleConnTimeout: idleTimeout,
 		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingInterval, PingTimeout: pingTimeout},
 	}}
