--- a/internal/transport/connpool/connpool.go
+++ b/internal/transport/connpool/connpool.go
@@ -1,8 +1,8 @@
-// Package connpool keeps HTTP/1.1 connections to instances.
+// Package connpool pools HTTP/1.1 connections to instances.
 //
-// net/http's transport sends a request again by itself in some cases, and takes the next
-// bytes on a connection for the answer to the request in flight. Here a connection is
-// used again only when it is certainly clean, a request is written once, and the caller
+// net/http's transport retries a request by itself in some cases, and takes the next bytes
+// on a connection for the response to the request in flight. This pool reuses a connection
+// only if it is open and has no unread bytes. A request is written once, and the caller
 // learns whether anything was written.
 package connpool
 
@@ -22,63 +22,63 @@
 )
 
 const (
-	// dialTimeout bounds the setting up of a connection: it is many times the way
-	// between failure domains, and below the objective of most requests.
+	// dialTimeout is many times the network latency between failure domains, and below the
+	// latency objective of most requests.
 	dialTimeout = 400 * time.Millisecond
-	// DefaultIdle is how long a connection is kept whose peer names no time.
-	DefaultIdle = 4 * time.Second
-	// idleMargin is taken off the time that a peer names, for the way of its close.
-	idleMargin = 500 * time.Millisecond
-	// maxIdle bounds the idle connections to one peer.
-	maxIdle = 16
-	// readBuffer holds an answer's head and most events.
-	readBuffer = 2048
+	// DefaultIdleTimeout is how long an idle connection is kept if its peer specifies no
+	// keep-alive timeout.
+	DefaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the keep-alive timeout, since the peer's FIN takes time to
+	// arrive.
+	idleMargin     = 500 * time.Millisecond
+	maxIdlePerPeer = 16
+	// readBufferBytes is enough for a response's header and for most events.
+	readBufferBytes = 2048
 )
 
-// Peer is whom a connection leads to. A connection to one incarnation is none to the next at its
-// address, which may know nothing of it, and say nothing on it.
+// Peer identifies the remote end of a connection. A connection to one incarnation is not reused for
+// the next one at the same address, which may not know the connection and may never respond on it.
 type Peer struct {
-	Address string
-	Of      registry.Incarnation
+	Address  string
+	Identity registry.Incarnation
 }
 
-// PeerOf returns an instance as a peer.
+// PeerOf returns the peer that identifies an instance.
 func PeerOf(in registry.Instance) Peer { return Peer{in.Address, in.Incarnation()} }
 
 // Conn is a connection to an instance.
 type Conn struct {
 	net.Conn
 	Reader *bufio.Reader
-	// Used says that it carried a request before.
-	Used  bool
-	peer  Peer
-	until time.Time
+	// Reused is set if the connection has carried a request before.
+	Reused  bool
+	peer    Peer
+	expires time.Time
 }
 
-// Pool keeps idle connections by peer. It is safe for concurrent use, and its zero value is
-// empty.
+// Pool holds idle connections by peer. It is safe for concurrent use, and its zero value is
+// an empty pool.
 type Pool struct {
-	mu   sync.Mutex
-	idle map[Peer][]*Conn
-	// opened counts the connections opened so far.
+	mu     sync.Mutex
+	idle   map[Peer][]*Conn
 	opened uint64
 }
 
-// Opened returns how many connections were opened so far.
+// Opened returns the total number of connections opened.
 func (p *Pool) Opened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Get returns a clean idle connection, or opens one.
+// Get returns a clean idle connection, or opens a new one.
 func (p *Pool) Get(ctx context.Context, peer Peer) (*Conn, error) {
 	for {
-		c := p.take(peer)
+		c := p.takeIdle(peer)
 		if c == nil {
 			return p.open(ctx, peer)
 		}
-		if clock.Now().Before(c.until) && quiet(c.Conn) {
+		if clock.Now().Before(c.expires) && isClean(c.Conn) {
 			return c, nil
 		}
 		_ = c.Close()
@@ -93,11 +93,11 @@
 	p.mu.Lock()
 	p.opened++
 	p.mu.Unlock()
-	return &Conn{Conn: c, Reader: bufio.NewReaderSize(c, readBuffer), peer: peer}, nil
+	return &Conn{Conn: c, Reader: bufio.NewReaderSize(c, readBufferBytes), peer: peer}, nil
 }
 
-// Refuses reports whether a peer refuses a new connection. One that it takes is kept for the next
-// request.
+// Refuses reports whether a peer refuses a new connection (ECONNREFUSED). If the peer accepts it, the
+// connection goes into the pool.
 func (p *Pool) Refuses(ctx context.Context, peer Peer) bool {
 	c, err := p.open(ctx, peer)
 	if err != nil {
@@ -107,8 +107,9 @@
 	return false
 }
 
-// take returns the connection that was used last: it is the least likely to be closed.
-func (p *Pool) take(peer Peer) *Conn {
+// takeIdle removes and returns the most recently used idle connection, which is the least likely
+// to have been closed by the peer. It returns nil if there is none.
+func (p *Pool) takeIdle(peer Peer) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[peer]
@@ -120,16 +121,17 @@
 	return c
 }
 
-// Put gives a connection back after a whole answer. keep is how long the peer keeps it,
-// or 0 when the peer did not say. A connection with surplus bytes is closed.
-func (p *Pool) Put(c *Conn, keep time.Duration) {
-	if keep == 0 {
-		keep = DefaultIdle
+// Put returns a connection to the pool after a complete response. keepAlive is the peer's
+// keep-alive timeout, or 0 if the peer did not specify one. A connection with unread bytes is
+// closed.
+func (p *Pool) Put(c *Conn, keepAlive time.Duration) {
+	if keepAlive == 0 {
+		keepAlive = DefaultIdleTimeout
 	}
-	c.Used = true
-	c.until = clock.Now().Add(keep - idleMargin)
+	c.Reused = true
+	c.expires = clock.Now().Add(keepAlive - idleMargin)
 	err := c.SetDeadline(time.Time{})
-	if err != nil || keep <= idleMargin || c.Reader.Buffered() > 0 {
+	if err != nil || keepAlive <= idleMargin || c.Reader.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
@@ -138,21 +140,21 @@
 	if p.idle == nil {
 		p.idle = map[Peer][]*Conn{}
 	}
-	if len(p.idle[c.peer]) >= maxIdle {
+	if len(p.idle[c.peer]) >= maxIdlePerPeer {
 		_ = c.Close()
 		return
 	}
 	p.idle[c.peer] = append(p.idle[c.peer], c)
 }
 
-// Sweep closes what is idle too long.
+// Sweep closes the idle connections that have expired.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for peer, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.expires) {
 				kept = append(kept, c)
 				continue
 			}
@@ -165,19 +167,19 @@
 	}
 }
 
-// quiet reports whether a connection is open and holds no byte: an answer that comes too
-// late must not be taken for the answer to the next request.
-func quiet(c net.Conn) bool {
+// isClean reports whether a connection is open and has no unread bytes: a late response must
+// not be taken for the response to the next request.
+func isClean(c net.Conn) bool {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	isClean := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, readErr := syscall.Read(int(fd), b[:])
-		quiet = n < 0 && (readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK)
+		isClean = n < 0 && (readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && isClean
 }
--- a/internal/transport/connpool/connpool_test.go
+++ b/internal/transport/connpool/connpool_test.go
@@ -14,15 +14,15 @@
 	"github.com/shedrock/shedrock/internal/transport/connpool"
 )
 
-// pair returns a pool's connection and the other side of it.
-func pair(t *testing.T, p *connpool.Pool) (ours *connpool.Conn, theirs net.Conn, peer connpool.Peer) {
+// newConnPair returns a connection opened by a pool, its remote end and its peer.
+func newConnPair(t *testing.T, p *connpool.Pool) (ours *connpool.Conn, theirs net.Conn, peer connpool.Peer) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	peer = connpool.Peer{Address: l.Addr().String(), Of: registry.Incarnation{ID: "i", Start: 1}}
+	peer = connpool.Peer{Address: l.Addr().String(), Identity: registry.Incarnation{ID: "i", Start: 1}}
 	ours, err = p.Get(context.Background(), peer)
 	if err != nil {
 		t.Fatal(err)
@@ -35,8 +35,8 @@
 	return ours, theirs, peer
 }
 
-// settle waits until what the other side did has arrived here.
-func settle(t *testing.T, c *connpool.Conn) {
+// awaitInput waits until bytes or the end of the stream arrive in the connection's reader.
+func awaitInput(t *testing.T, c *connpool.Conn) {
 	t.Helper()
 	err := c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if err != nil {
@@ -48,67 +48,68 @@
 	}
 }
 
-func TestCleanConnectionIsUsedAgain(t *testing.T) {
+func TestCleanConnectionIsReused(t *testing.T) {
 	var p connpool.Pool
-	ours, _, peer := pair(t, &p)
+	ours, _, peer := newConnPair(t, &p)
 	p.Put(ours, 0)
 	again, err := p.Get(context.Background(), peer)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(uint64(1), p.Opened()); diff != "" || again != ours || !again.Used {
+	if diff := cmp.Diff(uint64(1), p.Opened()); diff != "" || again != ours || !again.Reused {
 		t.Error(diff)
 	}
 }
 
-// A second answer, or bytes after a whole one, belong to no request: whoever uses the
-// connection next would take them for its own answer.
-func TestSurplusBytesEndTheConnection(t *testing.T) {
-	t.Run("before it is given back", func(t *testing.T) {
+// A second response, or bytes after a complete one, belong to no request. On a reused connection
+// they would be taken for the response to the next request.
+func TestUnusableIdleConnectionIsNotReused(t *testing.T) {
+	t.Run("bytes before Put", func(t *testing.T) {
 		var p connpool.Pool
-		ours, theirs, peer := pair(t, &p)
+		ours, theirs, peer := newConnPair(t, &p)
 		_, _ = theirs.Write([]byte("HTTP/1.1 200 OK\r\n"))
-		settle(t, ours)
+		awaitInput(t, ours)
 		p.Put(ours, 0)
-		checkFresh(t, &p, peer, ours)
+		checkNotReused(t, &p, peer, ours)
 	})
-	t.Run("while it rests", func(t *testing.T) {
+	t.Run("bytes while idle", func(t *testing.T) {
 		var p connpool.Pool
-		ours, theirs, peer := pair(t, &p)
-		// The bytes go past the pool's reader, as those that arrive later do.
-		probe := probeOf(t, ours)
+		ours, theirs, peer := newConnPair(t, &p)
+		// The bytes stay in the socket and are not in the connection's bufio.Reader, as for any
+		// that arrive after Put.
+		probe := newReadableWaiter(t, ours)
 		p.Put(ours, 0)
 		_, _ = theirs.Write([]byte("x"))
 		probe()
-		checkFresh(t, &p, peer, ours)
+		checkNotReused(t, &p, peer, ours)
 	})
-	t.Run("closed while it rests", func(t *testing.T) {
+	t.Run("closed while idle", func(t *testing.T) {
 		var p connpool.Pool
-		ours, theirs, peer := pair(t, &p)
-		probe := probeOf(t, ours)
+		ours, theirs, peer := newConnPair(t, &p)
+		probe := newReadableWaiter(t, ours)
 		p.Put(ours, 0)
 		_ = theirs.Close()
 		probe()
-		checkFresh(t, &p, peer, ours)
+		checkNotReused(t, &p, peer, ours)
 	})
-	t.Run("its peer started again", func(t *testing.T) {
+	t.Run("peer restarted", func(t *testing.T) {
 		var p connpool.Pool
-		ours, _, peer := pair(t, &p)
+		ours, _, peer := newConnPair(t, &p)
 		p.Put(ours, 0)
-		peer.Of.Start++
-		checkFresh(t, &p, peer, ours)
+		peer.Identity.Start++
+		checkNotReused(t, &p, peer, ours)
 	})
-	t.Run("longer than its peer keeps it", func(t *testing.T) {
+	t.Run("keep-alive timeout exceeded", func(t *testing.T) {
 		var p connpool.Pool
-		ours, _, peer := pair(t, &p)
+		ours, _, peer := newConnPair(t, &p)
 		p.Put(ours, time.Millisecond)
-		checkFresh(t, &p, peer, ours)
+		checkNotReused(t, &p, peer, ours)
 	})
 }
 
-// probeOf returns a function that waits until something can be read on a connection,
-// without reading it.
-func probeOf(t *testing.T, c *connpool.Conn) func() {
+// newReadableWaiter returns a function that waits until a connection is readable, and consumes
+// nothing.
+func newReadableWaiter(t *testing.T, c *connpool.Conn) func() {
 	t.Helper()
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -126,10 +127,10 @@
 	}
 }
 
-func checkFresh(t *testing.T, p *connpool.Pool, peer connpool.Peer, old *connpool.Conn) {
+func checkNotReused(t *testing.T, p *connpool.Pool, peer connpool.Peer, old *connpool.Conn) {
 	t.Helper()
 	next, err := p.Get(context.Background(), peer)
 	if err == nil && next == old {
-		t.Error("the old connection was used again")
+		t.Error("the old connection was reused")
 	}
 }
--- a/internal/transport/connpool/suspended_test.go
+++ b/internal/transport/connpool/suspended_test.go
@@ -11,12 +11,12 @@
 	"github.com/shedrock/shedrock/internal/transport/connpool"
 )
 
-// A machine that was suspended wakes with connections that its peers have given up long ago, of
-// which nothing shows: what is sent on one is lost, or is answered with a reset.
-func TestSuspensionEndsIdleConnections(t *testing.T) {
+// After a machine was suspended, its peers may have dropped its idle connections without any sign
+// on its side: what is sent on one is lost, or is answered with a reset.
+func TestIdleConnectionsExpireDuringSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	var p connpool.Pool
-	ours, _, peer := pair(t, &p)
+	ours, _, peer := newConnPair(t, &p)
 	p.Put(ours, 0)
 	machine.Suspend(10 * time.Second)
 	again, err := p.Get(context.Background(), peer)
