--- a/internal/transport/netdial/netdial.go
+++ b/internal/transport/netdial/netdial.go
@@ -1,6 +1,6 @@
-// Package netdial opens TCP connections that notice a peer behind a cut: without these
-// options, data that nobody acknowledges is sent again for many minutes before the
-// connection ends.
+// Package netdial opens TCP connections that detect an unreachable peer within seconds: without
+// these socket options, unacknowledged data is retransmitted for many minutes before the
+// connection fails.
 package netdial
 
 import (
@@ -12,23 +12,23 @@
 
 const (
 	// UserTimeout is how long sent bytes may stay unacknowledged. It is above the few
-	// hundred milliseconds that a lossy link needs for its retransmissions, and below
-	// the 3 s within which a healed cut must be over for callers.
+	// hundred milliseconds that retransmissions take on a lossy link, and below the 3 s
+	// within which callers must have recovered after a network partition has healed.
 	UserTimeout = 2 * time.Second
-	// probeIdle and probeInterval notice a silent peer on a connection that waits.
-	probeIdle     = 2 * time.Second
-	probeInterval = time.Second
-	probes        = 2
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes detect a silent peer on an idle connection.
+	keepAliveIdle     = 2 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
 	// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
 	tcpUserTimeout = 18
 )
 
-// Dialer returns a dialer; timeout bounds the setting up of a connection.
+// Dialer returns a dialer with these socket options; timeout bounds each connection attempt.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probes,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			var optErr error
@@ -43,8 +43,8 @@
 	}
 }
 
-// Client returns an HTTP client whose connections notice a silent peer; each call may take up to
-// timeout, or any time with 0.
+// Client returns an HTTP client whose connections detect a silent peer. Each call is bounded by
+// timeout, or unbounded if that is 0.
 func Client(dialTimeout, timeout time.Duration) *http.Client {
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DialContext: Dialer(dialTimeout).DialContext}}
 }
--- a/internal/transport/netdial/quick_test.go
+++ b/internal/transport/netdial/quick_test.go
@@ -10,9 +10,9 @@
 	"github.com/shedrock/shedrock/internal/transport/netdial"
 )
 
-// fullListener takes no more connections: its queue is full, so what comes is dropped, as by
-// a machine that is down.
-func fullListener(t *testing.T) string {
+// unresponsiveAddress returns the address of a listener whose accept queue is full, so that the
+// kernel drops further SYNs, as happens with a machine that is down.
+func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	address := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: bound.(*syscall.SockaddrInet4).Port}).String()
-	// One connection waits in the queue, and nobody takes it.
+	// This connection fills the queue and is never accepted.
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -40,12 +40,12 @@
 	return address
 }
 
-// A dead address is given up soon, then later and later up to the bound; one that answers is
-// given its time again.
-func TestQuickGivesUpSoonFirst(t *testing.T) {
-	dead := fullListener(t)
-	const most = 300 * time.Millisecond
-	q := netdial.NewAdaptiveDialer(most)
+// At an unresponsive address the timeout starts short and doubles up to the maximum. An address
+// that accepts connections is still reached by the same dialer.
+func TestAdaptiveDialerDoublesTimeout(t *testing.T) {
+	dead := unresponsiveAddress(t)
+	const maxTimeout = 300 * time.Millisecond
+	q := netdial.NewAdaptiveDialer(maxTimeout)
 	for i, want := range []time.Duration{100, 200, 300, 300} {
 		want *= time.Millisecond
 		began := time.Now()
@@ -53,7 +53,7 @@
 		took := time.Since(began)
 		if err == nil {
 			_ = c.Close()
-			t.Fatal("it was reached")
+			t.Fatal("connected to an unresponsive address")
 		}
 		if took < want-10*time.Millisecond || took > want+90*time.Millisecond {
 			t.Errorf("attempt %d took %s, want %s", i+1, took, want)
--- a/internal/transport/netdial/shared_test.go
+++ b/internal/transport/netdial/shared_test.go
@@ -17,13 +17,13 @@
 
 var errDown = errors.New("down")
 
-// dials counts attempts, which take 50 ms and fail while down is set.
-type dials struct {
+// fakeDialer counts attempts; each takes 50 ms, and fails if down is set.
+type fakeDialer struct {
 	n    atomic.Int64
 	down atomic.Bool
 }
 
-func (d *dials) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (d *fakeDialer) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	d.n.Add(1)
 	select {
 	case <-time.After(50 * time.Millisecond):
@@ -37,9 +37,9 @@
 	return c, nil
 }
 
-// atOnce makes so many attempts at once, and returns how many made a connection and how long all
-// of them took.
-func atOnce(ctx context.Context, s *netdial.SharedDialer, attempts int) (made int64, took time.Duration) {
+// dialConcurrently calls DialContext the given number of times concurrently. It returns how many calls
+// returned a connection, and how long all of them took together.
+func dialConcurrently(ctx context.Context, s *netdial.SharedDialer, attempts int) (made int64, took time.Duration) {
 	began := time.Now()
 	var connected atomic.Int64
 	var wg sync.WaitGroup
@@ -55,32 +55,34 @@
 	return connected.Load(), time.Since(began)
 }
 
-// Attempts at once share one, also its failure, so that no caller waits for the failures of others.
-func TestAttemptsAtOnceShareOne(t *testing.T) {
+// Concurrent callers share one attempt and its failure, so that none waits for several failed attempts
+// in turn.
+func TestConcurrentDialsShareOneAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &dials{}
+		d := &fakeDialer{}
 		s := netdial.NewSharedDialer(d.dial)
 		d.down.Store(true)
-		made, took := atOnce(t.Context(), s, 100)
+		made, took := dialConcurrently(t.Context(), s, 100)
 		if made != 0 || d.n.Load() != 1 || took != 50*time.Millisecond {
-			t.Errorf("%d connections by %d attempts after %s while it is down", made, d.n.Load(), took)
+			t.Errorf("address down: got %d connections by %d attempts after %s, want 0 by 1 after 50ms", made, d.n.Load(), took)
 		}
 		d.down.Store(false)
-		made, took = atOnce(t.Context(), s, 100)
+		made, took = dialConcurrently(t.Context(), s, 100)
 		if made != 1 || d.n.Load() != 2 || took > time.Second {
-			t.Errorf("%d connections by %d attempts after %s", made, d.n.Load()-1, took)
+			t.Errorf("got %d connections by %d attempts after %s, want 1 by 1 within 1s", made, d.n.Load()-1, took)
 		}
-		made, _ = atOnce(t.Context(), s, 1)
+		made, _ = dialConcurrently(t.Context(), s, 1)
 		if diff := cmp.Diff(int64(1), made); diff != "" {
-			t.Error("a later attempt makes a connection: ", diff)
+			t.Error("connections by a later attempt (-want +got): ", diff)
 		}
 	})
 }
 
-// One who goes away while others wait for the attempt takes it along, and the next makes one.
-func TestAttemptThatIsAbandonedFailsNobodyElse(t *testing.T) {
+// If the caller that dials is canceled, its attempt is canceled too, and a waiting caller makes a new
+// one instead of failing.
+func TestCanceledAttemptDoesNotFailWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &dials{}
+		d := &fakeDialer{}
 		s := netdial.NewSharedDialer(d.dial)
 		leaving, leave := context.WithCancel(t.Context())
 		first := make(chan error, 1)
--- a/internal/transport/netdial/silent_test.go
+++ b/internal/transport/netdial/silent_test.go
@@ -15,9 +15,9 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
 const tcpUserTimeout = 18
 
-// A connection on which the peer fell silent ends within what a request can wait, whether something
-// was sent on it or it only waits.
-func TestConnectionsNoticeSilence(t *testing.T) {
+// A connection to a peer that has become silent fails within the time that a request can wait, both
+// with unacknowledged data and while idle.
+func TestConnectionsDetectSilentPeer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
