--- a/internal/coordination/placement/board.go
+++ b/internal/coordination/placement/board.go
@@ -52,7 +52,7 @@
 	numbers   map[string]int
 	stores    []store
 	directory *directory.Directory
-	found     directory.Found
+	found     directory.MatchResult
 	// teams assigns numbers to the teams that have contexts in the directory, and shares holds
 	// their declared shares by number.
 	teams  map[string]uint16
@@ -118,7 +118,7 @@
 		pl.addresses[n] = u.Address()
 		known.Version = ""
 		known.ClearBackoff()
-		pl.directory.ForgetUpstream(n)
+		pl.directory.DropUpstream(n)
 	}
 	known.Slots = u.Slots()
 	known.PrefillRate = u.PrefillRate()
@@ -267,7 +267,7 @@
 	}
 	out := Plan{Plan: plan, Name: pl.names[plan.Upstream], Address: pl.addresses[plan.Upstream]}
 	out.Cached = int(pl.found.Cached[plan.Upstream])
-	out.CachedAsOf = pl.found.Used[plan.Upstream]
+	out.CachedAsOf = pl.found.LastUsed[plan.Upstream]
 	out.StoredBlocks = stored
 	if stored > 0 {
 		out.StoredAt = pl.stores[storeNumber].address
--- a/internal/coordination/placement/guard.go
+++ b/internal/coordination/placement/guard.go
@@ -31,7 +31,7 @@
 // of what this planner's partitions of the directory hold there. Only teams that hold something
 // count.
 func (pl *Planner) guaranteedBlocks(store uint16) map[uint16]int {
-	held := pl.directory.Held(store)
+	held := pl.directory.BlocksByTeam(store)
 	blocks, shares := 0, 0.0
 	for team, n := range held {
 		blocks += n
@@ -50,7 +50,7 @@
 func (pl *Planner) EvictObjects(address string, blocks int) []StoredObject {
 	n := uint16(pl.storeNumber(address) + 1)
 	var out []StoredObject
-	for _, o := range pl.directory.StalestObjects(n, blocks, pl.guaranteedBlocks(n)) {
+	for _, o := range pl.directory.EvictLeastRecentlyUsed(n, blocks, pl.guaranteedBlocks(n)) {
 		out = append(out, *pl.storedObject(o, 0))
 	}
 	return out
--- a/internal/coordination/placement/hints.go
+++ b/internal/coordination/placement/hints.go
@@ -74,7 +74,7 @@
 	h := &Hints{}
 	for n, blocks := range pl.found.Cached[:len(pl.upstreams)] {
 		if blocks > 0 {
-			h.Cached = append(h.Cached, CachedAt{pl.names[n], int(blocks), pl.found.Used[n]})
+			h.Cached = append(h.Cached, CachedAt{pl.names[n], int(blocks), pl.found.LastUsed[n]})
 		}
 	}
 	for i, o := range pl.found.Objects {
@@ -111,21 +111,21 @@
 // evicted from the directory.
 func (pl *Planner) Apply(n Note, now time.Time) (obsolete []StoredObject) {
 	if n.Refused {
-		pl.directory.ForgetObject(n.Key)
+		pl.directory.DropObject(n.Key)
 		return nil
 	}
 	if number, ok := pl.numbers[n.Upstream]; ok {
-		pl.directory.NoteRun(n.Key, n.Blocks, number, uint32(now.Unix()))
+		pl.directory.RecordRun(n.Key, n.Blocks, number, uint32(now.Unix()))
 	}
 	if n.Object != nil {
 		o := pl.object(pl.storeNumber(n.Object.Store), *n.Object)
 		old, had := pl.directory.Stored(n.Key)
-		pl.directory.NoteStored(n.Key, n.Parent, n.Blocks, pl.teamNumber(n.Team), o)
+		pl.directory.RecordStored(n.Key, n.Parent, n.Blocks, pl.teamNumber(n.Team), o)
 		if had && old != o {
 			obsolete = append(obsolete, *pl.storedObject(old, n.Blocks))
 		}
 	}
-	for _, dropped := range pl.directory.Dropped() {
+	for _, dropped := range pl.directory.TakeEvicted() {
 		obsolete = append(obsolete, *pl.storedObject(dropped, 0))
 	}
 	return obsolete
--- a/internal/coordination/placement/keep.go
+++ b/internal/coordination/placement/keep.go
@@ -170,7 +170,7 @@
 		}
 	}
 	for i := range s.incarnations {
-		pl.directory.ForgetStore(uint16(n+1), uint16(i))
+		pl.directory.DropStore(uint16(n+1), uint16(i))
 	}
 	s.incarnations = append(s.incarnations, name)
 	return uint16(len(s.incarnations) - 1)
--- a/internal/coordination/placement/replay_test.go
+++ b/internal/coordination/placement/replay_test.go
@@ -336,7 +336,7 @@
 	keys := keysOf(context, w.blocks[context])
 	owner := w.planners[context%entries]
 	for at := len(keys) - 1; at >= 0; at -= newBlocks {
-		owner.Directory().NoteEvicted(keys[at], n)
+		owner.Directory().RecordEviction(keys[at], n)
 	}
 }
 
--- a/internal/coordination/placement/retention.go
+++ b/internal/coordination/placement/retention.go
@@ -56,8 +56,8 @@
 // dropExpired clears the hints to contexts that are older than their engine's retention.
 func (pl *Planner) dropExpired(now time.Time) {
 	second := float64(now.Unix())
-	for _, n := range pl.found.Touched() {
-		age := second - float64(pl.found.Used[n])
+	for _, n := range pl.found.Holders() {
+		age := second - float64(pl.found.LastUsed[n])
 		r, ok := pl.retentions[pl.upstreams[n].Model]
 		if ok && !r.retains(age, now) {
 			pl.found.Cached[n] = 0
--- a/internal/state/directory/directory.go
+++ b/internal/state/directory/directory.go
@@ -74,13 +74,13 @@
 // Len returns the number of contexts.
 func (d *Directory) Len() int { return len(d.contexts) }
 
-// Found is what the directory knows of a prompt. Reuse one between calls of
+// MatchResult is what the directory knows of a prompt. Reuse one between calls of
 // Match to avoid allocation.
-type Found struct {
+type MatchResult struct {
 	// Cached holds, for each engine number, how many leading blocks it may have.
 	Cached []int32
-	// Used holds, for the same numbers, when that was last known, in seconds.
-	Used []uint32
+	// LastUsed holds, for the same numbers, when that was last known, in seconds.
+	LastUsed []uint32
 	// touched lists the numbers set in Cached.
 	touched []uint16
 	// Objects, in order from the prompt's start, hold the first Stored blocks.
@@ -94,14 +94,14 @@
 }
 
 // reset clears what the last Match left.
-func (f *Found) reset(upstreams int) {
+func (f *MatchResult) reset(upstreams int) {
 	for _, n := range f.touched {
 		f.Cached[n] = 0
 	}
 	f.touched = f.touched[:0]
 	if len(f.Cached) < upstreams {
 		f.Cached = make([]int32, upstreams)
-		f.Used = make([]uint32, upstreams)
+		f.LastUsed = make([]uint32, upstreams)
 	}
 	f.Objects = f.Objects[:0]
 	f.Ends = f.Ends[:0]
@@ -111,7 +111,7 @@
 
 // Match finds what is known of the prompt whose blocks have these keys. The
 // longest context is looked for first.
-func (d *Directory) Match(keys []prefix.Key, upstreams int, f *Found) {
+func (d *Directory) Match(keys []prefix.Key, upstreams int, f *MatchResult) {
 	f.reset(upstreams)
 	for i := len(keys) - 1; i >= 0; i-- {
 		c, ok := d.contexts[keys[i]]
@@ -126,7 +126,7 @@
 	}
 }
 
-func (d *Directory) noteUpstreams(c *context, blocks, upstreams int, f *Found) {
+func (d *Directory) noteUpstreams(c *context, blocks, upstreams int, f *MatchResult) {
 	for _, n := range c.upstreams {
 		if n != 0 && int(n) <= upstreams {
 			f.Add(int(n-1), blocks, c.used)
@@ -136,22 +136,22 @@
 
 // Add notes that an engine may have a number of leading blocks, as was last known at
 // a second, unless it is known to have more.
-func (f *Found) Add(upstream, blocks int, used uint32) {
+func (f *MatchResult) Add(upstream, blocks int, used uint32) {
 	if f.Cached[upstream] == 0 {
 		f.touched = append(f.touched, uint16(upstream))
 	}
 	if int32(blocks) > f.Cached[upstream] {
 		f.Cached[upstream] = int32(blocks)
-		f.Used[upstream] = used
+		f.LastUsed[upstream] = used
 	}
 }
 
-// Touched lists the engines that may have any block.
-func (f *Found) Touched() []uint16 { return f.touched }
+// Holders lists the engines that may have any block.
+func (f *MatchResult) Holders() []uint16 { return f.touched }
 
 // noteObjects follows the parents to the prompt's start; a gap on the way makes
 // the objects useless.
-func (d *Directory) noteObjects(c *context, blocks int, f *Found) {
+func (d *Directory) noteObjects(c *context, blocks int, f *MatchResult) {
 	left := blocks
 	for c.object.Store != 0 && int(c.object.Blocks) <= left {
 		f.Objects = append(f.Objects, c.object)
@@ -172,16 +172,16 @@
 	f.Ends = f.Ends[:0]
 }
 
-func reverse(f *Found) {
+func reverse(f *MatchResult) {
 	for i, j := 0, len(f.Objects)-1; i < j; i, j = i+1, j-1 {
 		f.Objects[i], f.Objects[j] = f.Objects[j], f.Objects[i]
 		f.Ends[i], f.Ends[j] = f.Ends[j], f.Ends[i]
 	}
 }
 
-// NoteRun says that an engine has just run a prompt, and so has its blocks; key is
+// RecordRun says that an engine has just run a prompt, and so has its blocks; key is
 // that of the last one. second is the time in seconds.
-func (d *Directory) NoteRun(key prefix.Key, blocks, upstream int, second uint32) {
+func (d *Directory) RecordRun(key prefix.Key, blocks, upstream int, second uint32) {
 	d.touchParents(key)
 	c := d.context(key, blocks)
 	c.used = second
@@ -217,10 +217,10 @@
 	}
 }
 
-// NoteStored says that a store has sealed an object with the last blocks of the
+// RecordStored says that a store has sealed an object with the last blocks of the
 // chain of a team's context; parent is the key before them, or the zero key at the
 // prompt's start.
-func (d *Directory) NoteStored(key, parent prefix.Key, blocks int, team uint16, o Object) {
+func (d *Directory) RecordStored(key, parent prefix.Key, blocks int, team uint16, o Object) {
 	c := d.context(key, blocks)
 	d.setObject(c, Object{})
 	c.team = team
@@ -228,8 +228,8 @@
 	c.parent = parent
 }
 
-// NoteEvicted says that an engine no longer has the block of a key.
-func (d *Directory) NoteEvicted(key prefix.Key, upstream int) {
+// RecordEviction says that an engine no longer has the block of a key.
+func (d *Directory) RecordEviction(key prefix.Key, upstream int) {
 	c, ok := d.contexts[key]
 	if !ok {
 		return
@@ -244,23 +244,23 @@
 	}
 }
 
-// ForgetUpstream drops every hint to an engine, as after lost cache events.
-func (d *Directory) ForgetUpstream(upstream int) {
+// DropUpstream drops every hint to an engine, as after lost cache events.
+func (d *Directory) DropUpstream(upstream int) {
 	for key := range d.contexts {
-		d.NoteEvicted(key, upstream)
+		d.RecordEviction(key, upstream)
 	}
 }
 
-// ForgetObject drops the hint to an object that a store has refused.
-func (d *Directory) ForgetObject(key prefix.Key) {
+// DropObject drops the hint to an object that a store has refused.
+func (d *Directory) DropObject(key prefix.Key) {
 	c, ok := d.contexts[key]
 	if ok {
 		d.setObject(c, Object{})
 	}
 }
 
-// ForgetStore drops every hint to one incarnation of a store.
-func (d *Directory) ForgetStore(store, incarnation uint16) {
+// DropStore drops every hint to one incarnation of a store.
+func (d *Directory) DropStore(store, incarnation uint16) {
 	for _, c := range d.contexts {
 		if c.object.Store == store && c.object.Incarnation == incarnation {
 			d.setObject(c, Object{})
@@ -293,9 +293,9 @@
 	return c
 }
 
-// Dropped returns, once, the objects of contexts that gave way to others: nobody else
+// TakeEvicted returns, once, the objects of contexts that gave way to others: nobody else
 // knows of them, so they are to be freed.
-func (d *Directory) Dropped() []Object {
+func (d *Directory) TakeEvicted() []Object {
 	out := d.dropped
 	d.dropped = nil
 	return out
--- a/internal/state/directory/directory_test.go
+++ b/internal/state/directory/directory_test.go
@@ -34,7 +34,7 @@
 }
 
 func match(d *directory.Directory, k []prefix.Key) found {
-	var f directory.Found
+	var f directory.MatchResult
 	d.Match(k, 3, &f)
 	return found{f.Cached[:3], f.Ends, f.Stored}
 }
@@ -45,27 +45,27 @@
 		return directory.Object{Store: 1, Blocks: blocks, Object: n, Generation: 1}
 	}
 	prompt := keys(1, 11)
-	d.NoteRun(prompt[3], 4, 0, 1)
-	d.NoteRun(prompt[7], 8, 1, 2)
-	d.NoteStored(prompt[3], prefix.Key{}, 4, 0, object(1, 4))
-	d.NoteStored(prompt[7], prompt[3], 8, 0, object(2, 4))
+	d.RecordRun(prompt[3], 4, 0, 1)
+	d.RecordRun(prompt[7], 8, 1, 2)
+	d.RecordStored(prompt[3], prefix.Key{}, 4, 0, object(1, 4))
+	d.RecordStored(prompt[7], prompt[3], 8, 0, object(2, 4))
 	steps := []struct {
 		name string
 		do   func()
 		want found
 	}{
 		{"the longest at each engine, and a chain of objects", func() {}, found{[]int32{4, 8, 0}, []int32{4, 8}, 8}},
-		{"an engine evicts", func() { d.NoteEvicted(prompt[7], 1) }, found{[]int32{4, 0, 0}, []int32{4, 8}, 8}},
-		{"a store refuses the newest", func() { d.ForgetObject(prompt[7]) }, found{[]int32{4, 0, 0}, []int32{4}, 4}},
+		{"an engine evicts", func() { d.RecordEviction(prompt[7], 1) }, found{[]int32{4, 0, 0}, []int32{4, 8}, 8}},
+		{"a store refuses the newest", func() { d.DropObject(prompt[7]) }, found{[]int32{4, 0, 0}, []int32{4}, 4}},
 		{"the newest without its beginning is of no use", func() {
-			d.NoteStored(prompt[7], prompt[3], 8, 0, object(3, 4))
-			d.ForgetObject(prompt[3])
+			d.RecordStored(prompt[7], prompt[3], 8, 0, object(3, 4))
+			d.DropObject(prompt[3])
 		}, found{[]int32{4, 0, 0}, nil, 0}},
 		{"a store restarts blank", func() {
-			d.NoteStored(prompt[3], prefix.Key{}, 4, 0, object(4, 4))
-			d.ForgetStore(1, 0)
+			d.RecordStored(prompt[3], prefix.Key{}, 4, 0, object(4, 4))
+			d.DropStore(1, 0)
 		}, found{[]int32{4, 0, 0}, nil, 0}},
-		{"events were lost", func() { d.ForgetUpstream(0) }, found{[]int32{0, 0, 0}, nil, 0}},
+		{"events were lost", func() { d.DropUpstream(0) }, found{[]int32{0, 0, 0}, nil, 0}},
 	}
 	for _, s := range steps {
 		s.do()
@@ -87,7 +87,7 @@
 		var order []int
 		for range 60 {
 			n := rapid.IntRange(1, 20).Draw(t, "context")
-			d.NoteRun(key(n), 1, 0, 1)
+			d.RecordRun(key(n), 1, 0, 1)
 			for i, other := range order {
 				if other == n {
 					order = append(order[:i], order[i+1:]...)
@@ -125,7 +125,7 @@
 		runtime.ReadMemStats(&before)
 		d := directory.New(contexts)
 		for n := range contexts {
-			d.NoteRun(key(n+1), 10, n%200, 1)
+			d.RecordRun(key(n+1), 10, n%200, 1)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/state/directory/held.go
+++ b/internal/state/directory/held.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Held returns how many blocks of a store each team holds, by team number.
-func (d *Directory) Held(store uint16) map[uint16]int {
+// BlocksByTeam returns how many blocks of a store each team holds, by team number.
+func (d *Directory) BlocksByTeam(store uint16) map[uint16]int {
 	out := map[uint16]int{}
 	for key, h := range d.held {
 		if key.store == store {
@@ -81,10 +81,10 @@
 	return out
 }
 
-// StalestObjects forgets the objects of a store whose contexts were used longest ago,
+// EvictLeastRecentlyUsed forgets the objects of a store whose contexts were used longest ago,
 // until they hold a number of blocks, and returns them. A team that holds no more than
 // its guard is passed over.
-func (d *Directory) StalestObjects(store uint16, blocks int, guards map[uint16]int) []Object {
+func (d *Directory) EvictLeastRecentlyUsed(store uint16, blocks int, guards map[uint16]int) []Object {
 	var out []Object
 	for blocks > 0 {
 		var stalest *context
--- a/internal/state/directory/held_test.go
+++ b/internal/state/directory/held_test.go
@@ -27,19 +27,19 @@
 			n := rapid.IntRange(0, contexts-1).Draw(t, "context")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				d.NoteRun(key(n+1), 1, 0, 1)
+				d.RecordRun(key(n+1), 1, 0, 1)
 				use(n)
 			case 1:
-				d.NoteStored(key(n+1), prefix.Key{}, 1, team(n), directory.Object{Store: 1, Blocks: 1, Object: step + 1})
+				d.RecordStored(key(n+1), prefix.Key{}, 1, team(n), directory.Object{Store: 1, Blocks: 1, Object: step + 1})
 				stored[n] = step + 1
 				use(n)
 			case 2:
-				d.ForgetObject(key(n + 1))
+				d.DropObject(key(n + 1))
 				delete(stored, n)
 			case 3:
 				guards := map[uint16]int{0: 2}
 				var got []uint64
-				for _, o := range d.StalestObjects(1, 1, guards) {
+				for _, o := range d.EvictLeastRecentlyUsed(1, 1, guards) {
 					got = append(got, o.Object)
 				}
 				var want []uint64
@@ -51,7 +51,7 @@
 					t.Fatal(diff)
 				}
 			}
-			if diff := cmp.Diff(count(stored, team), d.Held(1)); diff != "" {
+			if diff := cmp.Diff(count(stored, team), d.BlocksByTeam(1)); diff != "" {
 				t.Fatal(diff)
 			}
 		}
--- a/internal/transport/entry/poll.go
+++ b/internal/transport/entry/poll.go
@@ -147,7 +147,7 @@
 	if u.Version != load.Version {
 		// A different weight version has its own cache, which starts out empty.
 		u.Version = load.Version
-		e.planner.Directory().ForgetUpstream(p.number)
+		e.planner.Directory().DropUpstream(p.number)
 	}
 }
 
@@ -196,7 +196,7 @@
 	d := e.planner.Directory()
 	if page.Start != p.start {
 		if p.start != "" {
-			d.ForgetUpstream(p.number)
+			d.DropUpstream(p.number)
 		}
 		p.start = page.Start
 		p.sequence = 0
@@ -204,12 +204,12 @@
 	}
 	for _, event := range page.Events {
 		if p.sequence != 0 && event.Sequence != p.sequence+1 {
-			d.ForgetUpstream(p.number)
+			d.DropUpstream(p.number)
 		}
 		p.sequence = event.Sequence
 		key, ok := prefix.ParseKey(event.Key)
 		if ok && event.Removed {
-			d.NoteEvicted(key, p.number)
+			d.RecordEviction(key, p.number)
 		}
 	}
 }
