--- a/internal/state/declared/declared_test.go
+++ b/internal/state/declared/declared_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// parse parses a text that must be valid by itself.
+// parse parses a text, which must be valid by itself.
 func parse(t *testing.T, text string) *declared.Document {
 	t.Helper()
 	d, faults := declared.Parse("f", []byte(text))
@@ -71,14 +71,14 @@
 func TestApply(t *testing.T) {
 	s := declared.New()
 	steps := []struct{ name, text, want string }{
-		{"a reference to nothing", teams(1, "m"), `rejected: f:6: teams[0].models[0]: there is no model "m"`},
-		{"first", models(1, "m"), "accepted 1"},
-		{"now it is there", teams(1, "m"), "accepted 2"},
+		{"dangling reference", teams(1, "m"), `rejected: f:6: teams[0].models[0]: there is no model "m"`},
+		{"first version of models", models(1, "m"), "accepted 1"},
+		{"resolved reference", teams(1, "m"), "accepted 2"},
 		{"sent again", models(1, "m"), "accepted 1 again"},
-		{"equal version, other text", models(1, "n"), "conflict 1"},
-		{"a version too far", models(3, "m"), "conflict 1"},
-		{"what is needed cannot go", models(2, "n"), `rejected: f:4: models: the teams document in force still needs it: teams[0].models[0]: there is no model "m"`},
-		{"next", models(2, "m", "n"), "accepted 3"},
+		{"same version, different text", models(1, "n"), "conflict 1"},
+		{"skipped version", models(3, "m"), "conflict 1"},
+		{"removal of a referenced model", models(2, "n"), `rejected: f:4: models: the teams document in force still needs it: teams[0].models[0]: there is no model "m"`},
+		{"next version", models(2, "m", "n"), "accepted 3"},
 		{"superseded and sent again", models(1, "m"), "accepted 1 again"},
 	}
 	for _, step := range steps {
@@ -103,7 +103,7 @@
 		}
 		after, _ := s.Marshal()
 		if !strings.HasPrefix(got, "accepted") && string(before) != string(after) {
-			t.Fatalf("%s: a refused change changed something", step.name)
+			t.Fatalf("%s: a change that was not accepted modified the state", step.name)
 		}
 		restored, err := declared.Unmarshal(after)
 		if err != nil || restored.Revision() != s.Revision() {
@@ -117,7 +117,7 @@
 	for v := 1; v <= declared.HistoryLength+1; v++ {
 		s.Apply(parse(t, models(v, "m")))
 	}
-	// Version 1 is no longer remembered: it conflicts, and is not applied twice.
+	// Version 1 is no longer in the history: it conflicts, and is not applied twice.
 	if r, ok := s.Apply(parse(t, models(1, "m"))).(declared.Conflict); !ok || r.Current != declared.HistoryLength+1 {
 		t.Fatalf("%+v", r)
 	}
@@ -138,6 +138,6 @@
 		}
 	}
 	if _, ok := (declared.Delta{Prefix: 3, Suffix: 3}).Patch([]byte("abcd")); ok {
-		t.Error("a delta was patched onto a text too short for it")
+		t.Error("a delta was applied to a text that is too short for it")
 	}
 }
--- a/internal/state/declared/difference.go
+++ b/internal/state/declared/difference.go
@@ -6,33 +6,33 @@
 	"strings"
 )
 
-// maxDifferences bounds the answer to an operator who lost a race.
-const maxDifferences = 20
+// maxDiffLines bounds the lines reported to an operator whose document conflicts.
+const maxDiffLines = 20
 
-// differences says, line by line, what the submitted document would take from
-// and add to the one in force. Lines that only moved are not mentioned.
-func differences(old, submitted *Document) []string {
+// lineDiff returns the lines that only one of the submitted document and the one in
+// force contains. Lines that only moved are not reported.
+func lineDiff(old, submitted *Document) []string {
 	if old == nil {
 		return []string{"no such document is in force yet: submit version 1"}
 	}
-	removed := lineCounts(old.text)
+	unmatched := lineCounts(old.text)
 	var out []string
 	for _, line := range strings.Split(string(submitted.text), "\n") {
-		if removed[line] > 0 {
-			removed[line]--
+		if unmatched[line] > 0 {
+			unmatched[line]--
 			continue
 		}
 		out = append(out, "only yours: "+strings.TrimSpace(line))
 	}
 	for _, line := range strings.Split(string(old.text), "\n") {
-		if removed[line] > 0 {
-			removed[line]--
+		if unmatched[line] > 0 {
+			unmatched[line]--
 			out = append(out, "only in force: "+strings.TrimSpace(line))
 		}
 	}
-	if len(out) > maxDifferences {
-		more := len(out) - maxDifferences
-		out = append(out[:maxDifferences], fmt.Sprintf("and %d more lines", more))
+	if len(out) > maxDiffLines {
+		more := len(out) - maxDiffLines
+		out = append(out[:maxDiffLines], fmt.Sprintf("and %d more lines", more))
 	}
 	return out
 }
@@ -45,17 +45,17 @@
 	return counts
 }
 
-// Delta turns one text into the next: keep Prefix bytes of the old text, put
-// Middle, keep the last Suffix bytes of the old text.
+// Delta describes how to make a new text from an old one: the first Prefix bytes of
+// the old text, then Middle, then the last Suffix bytes of the old text.
 type Delta struct {
-	// Prefix and Suffix count bytes and never overlap in the old text.
+	// Prefix and Suffix are lengths in bytes; the two never overlap in the old text.
 	Prefix, Suffix int
-	// Middle replaces what stands between them.
+	// Middle replaces the bytes between them.
 	Middle []byte
 }
 
-// DeltaBetween finds the shortest Delta from old to new. A change of one team
-// in a document of hundreds costs about that team's own lines.
+// DeltaBetween returns the shortest Delta from old to next. For a change to one team
+// in a document of hundreds it is about as long as that team's lines.
 func DeltaBetween(old, next []byte) Delta {
 	limit := min(len(old), len(next))
 	prefix := 0
@@ -69,7 +69,7 @@
 	return Delta{Prefix: prefix, Suffix: suffix, Middle: bytes.Clone(next[prefix : len(next)-suffix])}
 }
 
-// Patch applies the delta; ok is false when it cannot belong to old.
+// Patch applies the delta to old; ok is false when its lengths do not fit old.
 func (d Delta) Patch(old []byte) (next []byte, ok bool) {
 	if d.Prefix < 0 || d.Suffix < 0 || d.Prefix+d.Suffix > len(old) {
 		return nil, false
--- a/internal/state/declared/document.go
+++ b/internal/state/declared/document.go
@@ -1,12 +1,11 @@
-// Package declared holds the declared state: the documents that operators
+// Package declared implements the declared state: the documents that operators
 // write, their strict validation, and the deterministic rule by which a change
 // is accepted.
 //
-// A file is one document with its own kind and version. It is applied whole or
-// not at all: every fault is found before anything changes, and references
-// between documents are checked inside the same deterministic step that
-// accepts a change. Two racing files that are each valid alone can therefore
-// not make an invalid whole together.
+// A file is one document with its own kind and version. It is applied atomically:
+// all faults are found before anything changes, and references between documents
+// are checked in the same deterministic step that accepts a change. Two concurrent
+// changes that are each valid alone can therefore not combine into an invalid state.
 package declared
 
 import (
@@ -23,7 +22,7 @@
 	"github.com/pkg/errors"
 )
 
-// Kind names what a document declares. There is one document of each kind.
+// Kind is what a document declares. At most one document of each kind is in force.
 type Kind string
 
 // The kinds of document.
@@ -44,28 +43,29 @@
 // MaxDocumentBytes bounds the text of one document.
 const MaxDocumentBytes = 4 << 20
 
-// Fault is one thing wrong with a document, with its place.
+// Fault is one error in a document, with its location.
 type Fault struct {
-	// File is the name the operator gave.
+	// File is the file name that the operator gave.
 	File string `json:"file"`
 	// Line counts from 1; 0 means that the fault has no line.
 	Line int `json:"line"`
-	// Field is the path of the faulty field, such as "teams[1].name".
+	// Field is the path of the invalid field, such as "teams[1].name".
 	Field string `json:"field"`
 	// Reason says what is wrong and what is expected.
 	Reason string `json:"reason"`
 }
 
-// String gives the fault in the form "file:line: field: reason".
+// String formats the fault as "file:line: field: reason".
 func (f Fault) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Field, f.Reason)
 }
 
-// Document is one parsed and locally valid document. It is immutable.
+// Document is one parsed document that is valid by itself; references to other
+// documents are not checked yet. It is immutable.
 type Document struct {
 	kind    Kind
 	version uint64
-	// file is the operator's name for the text; it appears in faults only.
+	// file is the file name that the operator gave; it is used only in faults.
 	file string
 	text []byte
 	tree *ast.File
@@ -78,16 +78,17 @@
 // Version returns the document's own version, from 1.
 func (d *Document) Version() uint64 { return d.version }
 
-// Text returns the document as the operator wrote it.
+// Text returns the document's YAML as the operator wrote it.
 func (d *Document) Text() []byte { return d.text }
 
-// Digest identifies kind, version and text. A resent change has the same one.
+// Digest returns a digest of kind, version and text. A change that is sent again has
+// the same digest.
 func (d *Document) Digest() string {
 	sum := sha256.Sum256([]byte(fmt.Sprintf("%s\x00%d\x00%s", d.kind, d.version, d.text)))
 	return hex.EncodeToString(sum[:])
 }
 
-// fileBody is the YAML form of every kind; a document fills only its own part.
+// fileBody is the YAML form of all kinds; a document sets only the section of its kind.
 type fileBody struct {
 	Document  Kind         `yaml:"document"`
 	Version   uint64       `yaml:"version"`
@@ -99,8 +100,8 @@
 	Control   *controlFields
 }
 
-// Parse reads one document strictly: unknown fields, duplicate keys and values
-// out of range are faults. file only names the text in faults.
+// Parse parses one document strictly: unknown fields, duplicate keys and values
+// out of range are faults. file is used only in faults.
 func Parse(file string, text []byte) (*Document, []Fault) {
 	if len(text) > MaxDocumentBytes {
 		reason := fmt.Sprintf("the document has %d bytes; at most %d are read", len(text), MaxDocumentBytes)
@@ -128,7 +129,7 @@
 	return d, nil
 }
 
-// syntaxFault turns the YAML library's error into a fault with its place.
+// syntaxFault converts an error of the YAML library to a fault with its location.
 func (d *Document) syntaxFault(err error) Fault {
 	f := Fault{File: d.file, Line: 1, Field: "document", Reason: err.Error()}
 	var located yaml.Error
@@ -138,7 +139,7 @@
 	f.Reason = located.GetMessage()
 	var wrongType *yaml.TypeError
 	if errors.As(err, &wrongType) {
-		f.Reason = fmt.Sprintf("expected %s, not %s", kindWord(wrongType.DstType), kindWord(wrongType.SrcType))
+		f.Reason = fmt.Sprintf("expected %s, not %s", yamlTypeName(wrongType.DstType), yamlTypeName(wrongType.SrcType))
 	}
 	token := located.GetToken()
 	if token == nil {
@@ -147,15 +148,15 @@
 	f.Line = token.Position.Line
 	f.Field = strings.TrimSpace(token.Value)
 	if d.tree != nil {
-		if path := pathOf(d.tree, token.Position.Offset); path != "" {
+		if path := nodePath(d.tree, token.Position.Offset); path != "" {
 			f.Field = path
 		}
 	}
 	return f
 }
 
-// kindWord names a Go type in the words of a YAML author.
-func kindWord(t reflect.Type) string {
+// yamlTypeName describes the YAML type that a Go type is decoded from.
+func yamlTypeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Map, reflect.Struct:
 		return "a mapping"
@@ -171,8 +172,8 @@
 	return "a whole number"
 }
 
-// pathOf finds the path of the node whose token is at an offset.
-func pathOf(tree *ast.File, offset int) string {
+// nodePath returns the YAML path of the node whose token is at an offset, or "".
+func nodePath(tree *ast.File, offset int) string {
 	v := &pathFinder{offset: offset}
 	for _, doc := range tree.Docs {
 		ast.Walk(v, doc)
@@ -185,7 +186,7 @@
 	path   string
 }
 
-// Visit keeps the path of the deepest node at the offset.
+// Visit records the path of the deepest node at the offset.
 func (v *pathFinder) Visit(n ast.Node) ast.Visitor {
 	if t := n.GetToken(); t != nil && t.Position.Offset == v.offset {
 		v.path = n.GetPath()
@@ -193,15 +194,15 @@
 	return v
 }
 
-// fault makes a fault at a field, found in the text by its path.
+// fault returns a fault at a field, whose line is looked up by its path.
 func (d *Document) fault(field, format string, args ...any) Fault {
 	f := Fault{File: d.file, Line: 1, Field: field, Reason: fmt.Sprintf(format, args...)}
 	f.Line = d.lineOf(field)
 	return f
 }
 
-// lineOf finds the line of a field; when the field is absent, such as a missing
-// "teams[1].name", the line of the nearest enclosing part is used.
+// lineOf returns the line of a field; when the field is absent, such as a missing
+// "teams[1].name", it returns the line of the nearest enclosing node.
 func (d *Document) lineOf(field string) int {
 	for field != "" {
 		path, err := yaml.PathString("$." + field)
--- a/internal/state/declared/fields.go
+++ b/internal/state/declared/fields.go
@@ -69,17 +69,17 @@
 	Incarnation   string `yaml:"incarnation"`
 }
 
-// Team is one group of callers that shares nothing with the others.
+// Team is a tenant: a group of callers that is isolated from all other teams.
 type Team struct{ f teamFields }
 
 // Name returns the team's name.
 func (t Team) Name() string { return t.f.Name }
 
 // KeyDigests returns the SHA-256 digests of the team's keys, in hexadecimal.
-// The keys themselves never stand in declared state.
+// Declared state never contains the keys themselves.
 func (t Team) KeyDigests() []string { return t.f.KeyDigests }
 
-// Share returns the team's weight in fair queuing, above 0; 1 when not declared.
+// Share returns the team's weight in fair queuing, which is above 0; the default is 1.
 func (t Team) Share() float64 {
 	if t.f.Share == 0 {
 		return 1
@@ -95,11 +95,11 @@
 	return t.f.MaxQueued
 }
 
-// TokenRate returns how many tokens of prompts and answers a second all entries of a
-// region admit for the team together; 0 means no limit.
+// TokenRate returns the limit on the team's prompt and answer tokens per second, over all
+// entries of a region together; 0 means no limit.
 func (t Team) TokenRate() float64 { return t.f.TokenRate }
 
-// DefaultMaxQueued is used for a team that declares no bound of its own.
+// DefaultMaxQueued is the limit of MaxQueued for a team that declares none.
 const DefaultMaxQueued = 64
 
 // MayUseModel reports whether the team may use the model.
@@ -108,23 +108,23 @@
 // MayUseService reports whether the team may use the plain service.
 func (t Team) MayUseService(name string) bool { return contains(t.f.Services, name) }
 
-// Model is one language model with the weight version in force.
+// Model is one language model with its declared weight version.
 type Model struct{ f modelFields }
 
 // Name returns the model's name.
 func (m Model) Name() string { return m.f.Name }
 
-// WeightVersion returns the weight version that new requests expect.
+// WeightVersion returns the weight version that new requests are to use.
 func (m Model) WeightVersion() string { return m.f.WeightVersion }
 
-// BytesPerToken returns the size of kept context in bytes for each token.
+// BytesPerToken returns the size of the KV cache in bytes per token.
 func (m Model) BytesPerToken() int64 { return m.f.BytesPerToken }
 
-// MaxPromptTokens returns the longest prompt accepted, in tokens.
+// MaxPromptTokens returns the length in tokens of the longest prompt accepted.
 func (m Model) MaxPromptTokens() int { return m.f.MaxTokens }
 
-// DefaultConcurrentLoads is how many replicas load weights at once when the
-// model declares no number: the brief says that loads slow beyond two or three.
+// DefaultConcurrentLoads is the number of replicas that load weights at once when the
+// model declares none: loads slow down beyond two or three at once.
 const DefaultConcurrentLoads = 2
 
 // ConcurrentLoads returns how many replicas may load weights at once.
@@ -135,7 +135,7 @@
 	return m.f.Loads
 }
 
-// MinServing returns how many replicas must keep serving during a rollout.
+// MinServing returns the number of replicas that must keep serving during a rollout.
 func (m Model) MinServing() int { return m.f.MinServing }
 
 // Upstream is one model engine instance.
@@ -147,28 +147,28 @@
 // Address returns the upstream's "ip:port".
 func (u Upstream) Address() string { return u.f.Address }
 
-// FailureDomain returns where the upstream runs.
+// FailureDomain returns the failure domain in which the upstream runs.
 func (u Upstream) FailureDomain() string { return u.f.FailureDomain }
 
 // Model returns the name of the model that the upstream serves.
 func (u Upstream) Model() string { return u.f.Model }
 
-// Slots returns how many requests the upstream runs at once.
+// Slots returns the number of requests that the upstream runs concurrently.
 func (u Upstream) Slots() int { return u.f.Slots }
 
-// PrefillRate returns how fast the upstream reads a prompt, in tokens a second.
+// PrefillRate returns the upstream's prefill throughput in tokens per second.
 func (u Upstream) PrefillRate() float64 { return u.f.PrefillRate }
 
-// LinkRate returns the bandwidth of the upstream's link, in bytes a second.
+// LinkRate returns the bandwidth of the upstream's network link in bytes per second.
 func (u Upstream) LinkRate() float64 { return u.f.LinkRate }
 
-// ChecksOrders reports whether the upstream refuses orders with old tokens.
+// ChecksOrders reports whether the upstream rejects orders with outdated tokens.
 func (u Upstream) ChecksOrders() bool { return u.f.ChecksOrders }
 
-// Leaving reports whether the upstream is declared to take no new work.
+// Leaving reports whether the upstream is declared to be draining: it gets no new work.
 func (u Upstream) Leaving() bool { return u.f.Leaving }
 
-// Store is one instance that keeps context in memory and on disk.
+// Store is one instance that stores context in memory and on disk.
 type Store struct{ f storeFields }
 
 // Name returns the store's name.
@@ -177,25 +177,25 @@
 // Address returns the store's "ip:port".
 func (s Store) Address() string { return s.f.Address }
 
-// FailureDomain returns where the store runs.
+// FailureDomain returns the failure domain in which the store runs.
 func (s Store) FailureDomain() string { return s.f.FailureDomain }
 
-// LinkRate returns the bandwidth of the store's link, in bytes a second.
+// LinkRate returns the bandwidth of the store's network link in bytes per second.
 func (s Store) LinkRate() float64 { return s.f.LinkRate }
 
-// Service is one plain service beside the model engines.
+// Service is one plain service, which is not a model engine.
 type Service struct{ f serviceFields }
 
 // Name returns the service's name.
 func (s Service) Name() string { return s.f.Name }
 
-// Instances returns the "ip:port" of each instance.
+// Instances returns the address of each instance, as "ip:port".
 func (s Service) Instances() []string { return s.f.Instances }
 
-// DefaultServiceTimeout bounds a call of a service that declares no timeout.
+// DefaultServiceTimeout is the timeout of a call to a service that declares none.
 const DefaultServiceTimeout = 30 * time.Second
 
-// Timeout bounds one call.
+// Timeout returns the timeout of one call.
 func (s Service) Timeout() time.Duration {
 	if s.f.Timeout == 0 {
 		return DefaultServiceTimeout
@@ -209,22 +209,22 @@
 	return !contains(s.f.OnceOnly, method+" "+path) && !contains(s.f.OnceOnly, method+" *")
 }
 
-// Control is the declaration of the control log and of the routing weights.
+// Control declares the control log's replicas, the regions and the routing weights.
 type Control struct{ f controlFields }
 
 // Replica is one declared replica of the control log.
 type Replica struct{ f replicaFields }
 
-// ID returns the replica's number, from 1.
+// ID returns the replica's number, which is at least 1.
 func (r Replica) ID() uint64 { return r.f.ID }
 
 // Address returns the replica's "ip:port".
 func (r Replica) Address() string { return r.f.Address }
 
-// FailureDomain returns where the replica runs.
+// FailureDomain returns the failure domain in which the replica runs.
 func (r Replica) FailureDomain() string { return r.f.FailureDomain }
 
-// Incarnation returns the id of the data folder whose votes count.
+// Incarnation returns the id of the data folder that may vote as this replica.
 func (r Replica) Incarnation() string { return r.f.Incarnation }
 
 // Replicas returns the declared replicas.
@@ -236,9 +236,9 @@
 	return out
 }
 
-// Region returns the region of a failure domain: entries share a directory of kept
-// context, upstreams and stores within it. Domains that are declared in none share one,
-// whose name is empty.
+// Region returns the name of a failure domain's region. The entries of a region share a
+// directory of stored context, upstreams and stores. All domains that no region declares
+// belong to one region, whose name is empty.
 func (c Control) Region(failureDomain string) string {
 	for _, r := range c.f.Regions {
 		if contains(r.FailureDomains, failureDomain) {
@@ -248,12 +248,12 @@
 	return ""
 }
 
-// RecomputeWeight returns what one recomputed token costs in the routing score,
-// in seconds.
+// RecomputeWeight returns the cost of one recomputed token in the routing score, in
+// seconds.
 func (c Control) RecomputeWeight() float64 { return c.f.RecomputeWeight }
 
-// FirstTokenWeight returns what one second to the first token costs in the
-// routing score; 1 when not declared.
+// FirstTokenWeight returns the cost of one second to the first token in the routing
+// score; the default is 1.
 func (c Control) FirstTokenWeight() float64 {
 	if c.f.FirstTokenWt == 0 {
 		return 1
@@ -261,11 +261,10 @@
 	return c.f.FirstTokenWt
 }
 
-// DefaultRetention is how long at-most-once records are kept when nothing is
-// declared.
+// DefaultRetention is the retention of at-most-once records when none is declared.
 const DefaultRetention = 24 * time.Hour
 
-// Retention returns how long an at-most-once record is kept.
+// Retention returns how long at-most-once records are retained.
 func (c Control) Retention() time.Duration {
 	if c.f.Retention == 0 {
 		return DefaultRetention
--- a/internal/state/declared/state.go
+++ b/internal/state/declared/state.go
@@ -13,35 +13,36 @@
 	"github.com/pkg/errors"
 )
 
-// HistoryLength is how many accepted changes are remembered, so that a change
-// that is sent again after a lost answer is recognised. At the letter's 13,000
-// changes a day that is a little over seven hours. A change resent later is
-// answered as a conflict and is never applied a second time, because its
-// version is no longer the next one.
+// HistoryLength is the number of accepted changes whose digests are retained, so that
+// a change that is sent again after its answer was lost is recognized. At the expected 13,000
+// changes a day the history covers a little over seven hours. A change that is sent
+// again later gets a conflict and is never applied twice, because its version is no
+// longer the next one.
 const HistoryLength = 4096
 
 // Result is one of Accepted, Conflict or Rejected.
 type Result interface{ sealed() }
 
-// Accepted says that the change is in force at a revision.
+// Accepted is the result for a change that is in force, or was accepted before.
 type Accepted struct {
-	// Revision is the global revision at which the change was accepted.
+	// Revision is the revision of the declared state at which the change was accepted.
 	Revision uint64
-	// Resent is true when the same change had been accepted before.
+	// Resent is true when the same change was already accepted before this call.
 	Resent bool
 }
 
-// Conflict says that the document's version is not the next one.
+// Conflict is the result for a document whose version is not the next one.
 type Conflict struct {
-	// Current is the version in force; the next accepted one is Current+1.
+	// Current is the version in force; only Current+1 can be accepted next.
 	Current uint64
-	// Differences say in words how the submitted text differs from the one in force.
+	// Differences lists, for the operator, the lines in which the submitted text differs
+	// from the one in force.
 	Differences []string
 }
 
-// Rejected says that the change would leave the declared state invalid.
+// Rejected is the result for a change that would make the declared state invalid.
 type Rejected struct {
-	// Faults holds at least one fault.
+	// Faults is never empty.
 	Faults []Fault
 }
 
@@ -49,30 +50,30 @@
 func (Conflict) sealed() {}
 func (Rejected) sealed() {}
 
-// accepted remembers one change.
+// accepted is the history's record of one accepted change.
 type accepted struct {
 	Digest   string `json:"digest"`
 	Revision uint64 `json:"revision"`
 }
 
-// State is the whole declared state at one revision. Apply changes it in place;
-// Clone before sharing.
+// State is the complete declared state at one revision. Its methods modify it in
+// place; Clone it before sharing it.
 type State struct {
-	// revision only rises, by one for each accepted change.
+	// revision never decreases; each accepted change increments it by one.
 	revision uint64
-	// docs holds at most one document of each kind, all references valid.
+	// docs holds at most one document of each kind; all references between them are valid.
 	docs map[Kind]*Document
 	// history is ordered by revision and holds at most HistoryLength changes.
 	history []accepted
 	// superseded holds, for each model, the weight version that was declared before the one in
 	// force.
 	superseded map[string]string
-	// evacuated holds failure domains in the order of their names.
+	// evacuated holds the evacuated failure domains, sorted by name.
 	evacuated []string
 	index     index
 }
 
-// index is derived from docs.
+// index holds lookup tables built from docs.
 type index struct {
 	teams     map[string]Team
 	models    map[string]Model
@@ -86,7 +87,7 @@
 	return &State{docs: map[Kind]*Document{}, superseded: map[string]string{}, index: newIndex(nil)}
 }
 
-// Clone returns a copy that shares only immutable parts.
+// Clone returns a copy that shares only immutable data with s.
 func (s *State) Clone() *State {
 	c := &State{revision: s.revision, docs: map[Kind]*Document{}, superseded: maps.Clone(s.superseded), evacuated: s.evacuated, index: s.index}
 	for k, d := range s.docs {
@@ -105,13 +106,13 @@
 	return d, ok
 }
 
-// Apply accepts or refuses one change. It is deterministic: every replica that
-// applies the same changes in the same order reaches the same state.
+// Apply accepts or rejects one change. It is deterministic: replicas that apply the
+// same changes in the same order reach the same state.
 func (s *State) Apply(d *Document) Result {
 	digest := d.Digest()
-	for _, past := range s.history {
-		if past.Digest == digest {
-			return Accepted{Revision: past.Revision, Resent: true}
+	for _, change := range s.history {
+		if change.Digest == digest {
+			return Accepted{Revision: change.Revision, Resent: true}
 		}
 	}
 	var current uint64
@@ -120,28 +121,28 @@
 		current = old.version
 	}
 	if d.version != current+1 {
-		return Conflict{Current: current, Differences: differences(old, d)}
+		return Conflict{Current: current, Differences: lineDiff(old, d)}
 	}
-	faults := s.dangling(d, false)
+	faults := s.danglingReferences(d, false)
 	if len(faults) > 0 {
 		return Rejected{Faults: faults}
 	}
 	s.docs[d.kind] = d
 	s.revision++
-	s.remember(accepted{Digest: digest, Revision: s.revision})
-	s.reindex()
+	s.recordAccepted(accepted{Digest: digest, Revision: s.revision})
+	s.rebuildIndex()
 	return Accepted{Revision: s.revision}
 }
 
-func (s *State) remember(a accepted) {
+func (s *State) recordAccepted(a accepted) {
 	s.history = append(s.history, a)
 	if len(s.history) > HistoryLength {
 		s.history = append([]accepted(nil), s.history[1:]...)
 	}
 }
 
-// Install puts a document in force at a revision without checking its version;
-// it is for processes that follow a control replica, which has checked it.
+// Install puts documents in force at a revision without checking their versions or
+// references; it is for processes that follow a control replica, which has checked them.
 func (s *State) Install(revision uint64, docs ...*Document) {
 	if revision < s.revision {
 		panic(fmt.Sprintf("declared: revision would fall from %d to %d", s.revision, revision))
@@ -150,19 +151,20 @@
 		s.docs[d.kind] = d
 	}
 	s.revision = revision
-	s.reindex()
+	s.rebuildIndex()
 }
 
-// reindex derives the index anew, and notes which weight versions it supersedes.
-func (s *State) reindex() {
+// rebuildIndex rebuilds the index, and records the weight versions that it supersedes.
+func (s *State) rebuildIndex() {
 	before := s.index.models
 	s.index = newIndex(s.docs)
-	s.supersede(before)
+	s.recordSuperseded(before)
 }
 
-// dangling checks every reference between documents, as if d were in force. With
-// partial set, references into a kind of which there is no document are left alone.
-func (s *State) dangling(d *Document, partial bool) []Fault {
+// danglingReferences returns a fault for each reference between documents that would not
+// resolve if d were in force. If partial is set, references to a kind without a document
+// are not checked.
+func (s *State) danglingReferences(d *Document, partial bool) []Fault {
 	docs := map[Kind]*Document{}
 	for k, v := range s.docs {
 		docs[k] = v
@@ -240,16 +242,16 @@
 	return t, ok
 }
 
-// TeamByKey finds the team that owns a key. Every digest is compared in
-// constant time, and the search never stops early.
+// TeamByKey returns the team that owns a key. To avoid a timing side channel, each digest
+// is compared in constant time and all digests are compared even after a match.
 func (s *State) TeamByKey(key string) (Team, bool) {
 	sum := sha256.Sum256([]byte(key))
-	given := []byte(hex.EncodeToString(sum[:]))
+	keyDigest := []byte(hex.EncodeToString(sum[:]))
 	var owner Team
 	found := 0
 	for _, t := range s.index.teams {
 		for _, digest := range t.f.KeyDigests {
-			if subtle.ConstantTimeCompare(given, []byte(digest)) == 1 {
+			if subtle.ConstantTimeCompare(keyDigest, []byte(digest)) == 1 {
 				owner = t
 				found = 1
 			}
@@ -276,8 +278,8 @@
 // Stores returns every declared store, in the order of the document.
 func (s *State) Stores() []Store { return s.index.stores }
 
-// UpstreamsInRegionOf returns the declared upstreams in the region of a failure domain, in
-// the order of the document.
+// UpstreamsInRegionOf returns the declared upstreams in the region of a failure domain,
+// in the order of the document.
 func (s *State) UpstreamsInRegionOf(failureDomain string) []Upstream {
 	var out []Upstream
 	for _, u := range s.index.upstreams {
@@ -297,7 +299,7 @@
 // Teams returns the number of declared teams.
 func (s *State) Teams() int { return len(s.index.teams) }
 
-// Control returns the control declaration; it is empty when none is in force.
+// Control returns the control declaration, or an empty one when none is in force.
 func (s *State) Control() Control {
 	d, ok := s.docs[KindControl]
 	if !ok {
@@ -306,12 +308,12 @@
 	return Control{*d.body.Control}
 }
 
-// snapshot is the stored form of a State.
+// snapshot is the encoded form of a State.
 type snapshot struct {
 	Revision  uint64          `json:"revision"`
 	Documents map[Kind][]byte `json:"documents"`
 	History   []accepted      `json:"history"`
-	// Superseded holds weight versions by model.
+	// Superseded maps models to their superseded weight versions.
 	Superseded map[string]string `json:"superseded,omitempty"`
 	Evacuated  []string          `json:"evacuated,omitempty"`
 }
@@ -326,7 +328,7 @@
 	return b, errors.Wrap(err, "encode declared state")
 }
 
-// Unmarshal decodes a state written by Marshal.
+// Unmarshal decodes a state encoded by Marshal.
 func Unmarshal(b []byte) (*State, error) {
 	var in snapshot
 	err := json.Unmarshal(b, &in)
@@ -351,7 +353,7 @@
 	return s, nil
 }
 
-// ModelNames returns the names of the declared models, in order.
+// ModelNames returns the names of the declared models, sorted.
 func (s *State) ModelNames() []string {
 	names := make([]string, 0, len(s.index.models))
 	for name := range s.index.models {
@@ -361,22 +363,22 @@
 	return names
 }
 
-// CheckReferences returns the dangling references that would be left if all the
-// documents were in force together. References into a kind of which no document is
-// given cannot be checked here, and are left to Apply.
+// CheckReferences returns the dangling references that there would be if all the
+// documents were in force together. References to a kind without a document cannot
+// be checked here; Apply checks them.
 func (s *State) CheckReferences(docs []*Document) []Fault {
-	together := s.Clone()
+	combined := s.Clone()
 	for _, d := range docs {
-		together.docs[d.kind] = d
+		combined.docs[d.kind] = d
 	}
 	var faults []Fault
 	for _, d := range docs {
-		if together.docs[d.kind] != d {
+		if combined.docs[d.kind] != d {
 			faults = append(faults, d.fault("document", "another file also declares %s", d.kind))
 			continue
 		}
-		for _, f := range together.dangling(d, true) {
-			// Faults of other documents are reported with their own file.
+		for _, f := range combined.danglingReferences(d, true) {
+			// Faults in other documents are reported when that document is checked, with its file.
 			if !strings.Contains(f.Reason, "document in force still needs it") {
 				faults = append(faults, f)
 			}
--- a/internal/state/declared/superseded.go
+++ b/internal/state/declared/superseded.go
@@ -2,9 +2,9 @@
 
 import "maps"
 
-// supersede notes which weight versions were replaced since some models were declared, and
-// forgets models that are gone.
-func (s *State) supersede(before map[string]Model) {
+// recordSuperseded records the weight versions that have changed since before, the models
+// declared earlier, and deletes the records of models that are no longer declared.
+func (s *State) recordSuperseded(before map[string]Model) {
 	for name := range s.superseded {
 		if _, ok := s.index.models[name]; !ok {
 			delete(s.superseded, name)
@@ -17,12 +17,12 @@
 	}
 }
 
-// SupersededVersions returns, by model, the weight version that was declared before the one in force;
-// a model whose version never changed has none.
+// SupersededVersions returns, by model, the weight version that was declared before the one in
+// force; a model whose version never changed has no entry.
 func (s *State) SupersededVersions() map[string]string { return maps.Clone(s.superseded) }
 
-// SetSupersededVersions takes what AllSuperseded says where the state came from; it is for
-// processes that follow a control replica and were told every document.
+// SetSupersededVersions copies the result of SupersededVersions at a control replica; it is for
+// processes that follow the replica and receive every document from it.
 func (s *State) SetSupersededVersions(versions map[string]string) {
 	s.superseded = map[string]string{}
 	maps.Copy(s.superseded, versions)
--- a/internal/state/declared/validate.go
+++ b/internal/state/declared/validate.go
@@ -6,28 +6,28 @@
 	"regexp"
 )
 
-// namePattern keeps names safe in logs, metric labels and URL paths.
+// namePattern allows only names that are safe in logs, metric labels and URL paths.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 var digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// checker gathers the faults of one document.
+// checker collects the faults of one document.
 type checker struct {
 	d      *Document
 	faults []Fault
 }
 
-func (c *checker) add(field, format string, args ...any) {
+func (c *checker) addFault(field, format string, args ...any) {
 	c.faults = append(c.faults, c.d.fault(field, format, args...))
 }
 
 func (c *checker) name(field, name string, seen map[string]bool) {
 	if !namePattern.MatchString(name) {
-		c.add(field+".name", "%q is not a name: use 1 to 63 of a-z 0-9 . _ -", name)
+		c.addFault(field+".name", "%q is not a name: use 1 to 63 of a-z 0-9 . _ -", name)
 		return
 	}
 	if seen[name] {
-		c.add(field+".name", "%q is declared twice", name)
+		c.addFault(field+".name", "%q is declared twice", name)
 	}
 	seen[name] = true
 }
@@ -35,29 +35,29 @@
 func (c *checker) address(field, address string) {
 	_, err := netip.ParseAddrPort(address)
 	if err != nil {
-		c.add(field, "%q is not an address: expected an IP number and port such as 127.0.0.1:8101", address)
+		c.addFault(field, "%q is not an address: expected an IP number and port such as 127.0.0.1:8101", address)
 	}
 }
 
 func (c *checker) positive(field string, n float64) {
 	if !(n > 0) {
-		c.add(field, "must be above 0")
+		c.addFault(field, "must be above 0")
 	}
 }
 
 func (c *checker) notNegative(field string, n float64) {
 	if !(n >= 0) {
-		c.add(field, "must not be negative")
+		c.addFault(field, "must not be negative")
 	}
 }
 
-// validate finds every fault that the document has by itself.
+// validate returns all faults that can be found without other documents.
 func (d *Document) validate() []Fault {
 	c := &checker{d: d}
 	if !c.header() {
 		return c.faults
 	}
-	c.otherParts()
+	c.otherSections()
 	switch d.kind {
 	case KindTeams:
 		c.teams()
@@ -81,18 +81,19 @@
 		known = known || k == c.d.kind
 	}
 	if !known {
-		c.add("document", "%q is no kind of document; the kinds are %v", c.d.kind, Kinds())
+		c.addFault("document", "%q is no kind of document; the kinds are %v", c.d.kind, Kinds())
 	}
 	if c.d.version == 0 {
-		c.add("version", "must be a whole number from 1; the first version of a document is 1")
+		c.addFault("version", "must be a whole number from 1; the first version of a document is 1")
 	}
 	return len(c.faults) == 0
 }
 
-// otherParts refuses, say, "upstreams:" inside the teams document.
-func (c *checker) otherParts() {
+// otherSections reports sections that belong to another kind, such as "upstreams:" in the
+// teams document.
+func (c *checker) otherSections() {
 	b := &c.d.body
-	filled := map[Kind]bool{
+	present := map[Kind]bool{
 		KindTeams:     b.Teams != nil,
 		KindModels:    b.Models != nil,
 		KindUpstreams: b.Upstreams != nil,
@@ -101,8 +102,8 @@
 		KindControl:   b.Control != nil,
 	}
 	for _, k := range Kinds() {
-		if filled[k] && k != c.d.kind {
-			c.add(string(k), "does not belong in a document of kind %q", c.d.kind)
+		if present[k] && k != c.d.kind {
+			c.addFault(string(k), "does not belong in a document of kind %q", c.d.kind)
 		}
 	}
 }
@@ -114,16 +115,16 @@
 		field := fmt.Sprintf("teams[%d]", i)
 		c.name(field, t.Name, seen)
 		if len(t.KeyDigests) == 0 {
-			c.add(field+".key_digests", "at least one SHA-256 digest of a key is needed")
+			c.addFault(field+".key_digests", "at least one SHA-256 digest of a key is needed")
 		}
 		for j, digest := range t.KeyDigests {
-			at := fmt.Sprintf("%s.key_digests[%d]", field, j)
+			path := fmt.Sprintf("%s.key_digests[%d]", field, j)
 			if !digestPattern.MatchString(digest) {
-				c.add(at, "expected the SHA-256 digest of a key, 64 hexadecimal digits in lower case")
+				c.addFault(path, "expected the SHA-256 digest of a key, 64 hexadecimal digits in lower case")
 				continue
 			}
 			if owner, ok := digests[digest]; ok {
-				c.add(at, "the same key already belongs to team %q", owner)
+				c.addFault(path, "the same key already belongs to team %q", owner)
 			}
 			digests[digest] = t.Name
 		}
@@ -139,7 +140,7 @@
 		field := fmt.Sprintf("models[%d]", i)
 		c.name(field, m.Name, seen)
 		if !namePattern.MatchString(m.WeightVersion) {
-			c.add(field+".weight_version", "%q is not a version: use 1 to 63 of a-z 0-9 . _ -", m.WeightVersion)
+			c.addFault(field+".weight_version", "%q is not a version: use 1 to 63 of a-z 0-9 . _ -", m.WeightVersion)
 		}
 		c.positive(field+".kv_bytes_per_token", float64(m.BytesPerToken))
 		c.positive(field+".max_prompt_tokens", float64(m.MaxTokens))
@@ -156,7 +157,7 @@
 		c.name(field, u.Name, seen)
 		c.address(field+".address", u.Address)
 		if addresses[u.Address] {
-			c.add(field+".address", "%q is declared twice", u.Address)
+			c.addFault(field+".address", "%q is declared twice", u.Address)
 		}
 		addresses[u.Address] = true
 		c.domain(field, u.FailureDomain)
@@ -168,7 +169,7 @@
 
 func (c *checker) domain(field, name string) {
 	if !namePattern.MatchString(name) {
-		c.add(field+".failure_domain", "%q is not a name: use 1 to 63 of a-z 0-9 . _ -", name)
+		c.addFault(field+".failure_domain", "%q is not a name: use 1 to 63 of a-z 0-9 . _ -", name)
 	}
 }
 
@@ -191,14 +192,14 @@
 		field := fmt.Sprintf("services[%d]", i)
 		c.name(field, s.Name, seen)
 		if len(s.Instances) == 0 {
-			c.add(field+".instances", "at least one address is needed")
+			c.addFault(field+".instances", "at least one address is needed")
 		}
 		for j, address := range s.Instances {
 			c.address(fmt.Sprintf("%s.instances[%d]", field, j), address)
 		}
 		for j, call := range s.OnceOnly {
 			if !callPattern.MatchString(call) {
-				c.add(fmt.Sprintf("%s.not_repeatable[%d]", field, j), "%q is not a call: expected a method and a path such as \"POST /orders\", or \"POST *\"", call)
+				c.addFault(fmt.Sprintf("%s.not_repeatable[%d]", field, j), "%q is not a call: expected a method and a path such as \"POST /orders\", or \"POST *\"", call)
 			}
 		}
 		c.notNegative(field+".timeout", float64(s.Timeout))
@@ -209,27 +210,27 @@
 
 func (c *checker) control() {
 	if c.d.body.Control == nil {
-		c.add("control", "the document must have a control part")
+		c.addFault("control", "the document must have a control part")
 		return
 	}
 	f := c.d.body.Control
 	n := len(f.Replicas)
 	if n != 1 && n != 3 && n != 5 {
-		c.add("control.replicas", "expected 1, 3 or 5 replicas, not %d", n)
+		c.addFault("control.replicas", "expected 1, 3 or 5 replicas, not %d", n)
 	}
 	ids := map[uint64]bool{}
 	perDomain := map[string]int{}
 	for i, r := range f.Replicas {
 		field := fmt.Sprintf("control.replicas[%d]", i)
 		if r.ID == 0 || ids[r.ID] {
-			c.add(field+".id", "must be a whole number from 1 that no other replica has")
+			c.addFault(field+".id", "must be a whole number from 1 that no other replica has")
 		}
 		ids[r.ID] = true
 		c.address(field+".address", r.Address)
 		c.domain(field, r.FailureDomain)
 		perDomain[r.FailureDomain]++
 		if n > 1 && perDomain[r.FailureDomain] > n/2 {
-			c.add(field+".failure_domain", "%q would hold a majority of the replicas", r.FailureDomain)
+			c.addFault(field+".failure_domain", "%q would hold a majority of the replicas", r.FailureDomain)
 		}
 	}
 	c.regions(f.Regions)
@@ -245,15 +246,15 @@
 		field := fmt.Sprintf("control.regions[%d]", i)
 		c.name(field, r.Name, seen)
 		if len(r.FailureDomains) == 0 {
-			c.add(field+".failure_domains", "at least one failure domain is needed")
+			c.addFault(field+".failure_domains", "at least one failure domain is needed")
 		}
 		for j, domain := range r.FailureDomains {
-			at := fmt.Sprintf("%s.failure_domains[%d]", field, j)
+			path := fmt.Sprintf("%s.failure_domains[%d]", field, j)
 			if !namePattern.MatchString(domain) {
-				c.add(at, "%q is not a name: use 1 to 63 of a-z 0-9 . _ -", domain)
+				c.addFault(path, "%q is not a name: use 1 to 63 of a-z 0-9 . _ -", domain)
 			}
 			if other, ok := owner[domain]; ok {
-				c.add(at, "%q already belongs to region %q", domain, other)
+				c.addFault(path, "%q already belongs to region %q", domain, other)
 			}
 			owner[domain] = r.Name
 		}
