--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -138,10 +138,10 @@
 		return err
 	}
 	e.Peers.Feed = f
-	e.Peers.Find = e.FindHints
-	e.Peers.Apply = e.ApplyNotes
-	e.Peers.Near = e.InRegion
-	e.Peers.Lend = e.LendTokens
+	e.Peers.LookUpHints = e.FindHints
+	e.Peers.StoreNotes = e.ApplyNotes
+	e.Peers.InSameRegion = e.InRegion
+	e.Peers.GrantLoan = e.LendTokens
 	e.Peers.Ends = e.Ends
 	follower := &feed.Follower{
 		Feed: f, Self: e.Applied, Enforce: e.Enforce, Client: rpc.NewClient(), Log: e.Log,
@@ -185,7 +185,7 @@
 			return control[next%len(control)], true
 		}
 		next++
-		all := append(p.Others(), control...)
+		all := append(p.LocalPeerAddresses(), control...)
 		return all[next%len(all)], true
 	}
 }
--- a/internal/transport/entry/deadly_test.go
+++ b/internal/transport/entry/deadly_test.go
@@ -185,7 +185,7 @@
 		r := s.start(func(e *entry.Entry) {
 			e.Peers = &peers.Peers{
 				Name: e.Name, FailureDomain: e.FailureDomain, Listener: listener, Seeds: seeds, Feed: feed.New(),
-				Find: e.FindHints, Apply: e.ApplyNotes, Lend: e.LendTokens, Log: discardLogger(), Interval: 20 * time.Millisecond,
+				LookUpHints: e.FindHints, StoreNotes: e.ApplyNotes, GrantLoan: e.LendTokens, Log: discardLogger(), Interval: 20 * time.Millisecond,
 			}
 		})
 		r.Peers.Ends = r.Ends
@@ -194,7 +194,7 @@
 		all = append(all, r)
 	}
 	for _, r := range all {
-		eventually(s.t, "the entries see each other as peers", func() bool { return r.Peers.Live() == 2 })
+		eventually(s.t, "the entries see each other as peers", func() bool { return r.Peers.LiveInRegion() == 2 })
 	}
 	return all[0], all[1]
 }
--- a/internal/transport/entry/ends.go
+++ b/internal/transport/entry/ends.go
@@ -28,7 +28,7 @@
 	if e.Peers == nil {
 		return 1
 	}
-	return e.Peers.Live()
+	return e.Peers.LiveInRegion()
 }
 
 // requestDigest returns a digest that is equal for identical requests of one team,
--- a/internal/transport/entry/rate.go
+++ b/internal/transport/entry/rate.go
@@ -76,7 +76,7 @@
 // takeLocalShare takes tokens from this entry's own share of the rate: the failure
 // domain's share divided by the number of entries in the domain.
 func (e *Entry) takeLocalShare(team declared.Team, cost float64) limits.Loan {
-	perSecond := team.TokenRate() / float64(e.Peers.LiveHere())
+	perSecond := team.TokenRate() / float64(e.Peers.LiveInDomain())
 	perSecond *= slotShare(e.state.Load(), e.FailureDomain, func(domain string) bool { return domain == e.FailureDomain })
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/transport/entry/relearn.go
+++ b/internal/transport/entry/relearn.go
@@ -200,7 +200,7 @@
 // owned returns the partitions of the directory that this entry owns.
 func (e *Entry) owned() []uint16 {
 	if e.Peers != nil {
-		return e.Peers.Owned()
+		return e.Peers.OwnedPartitions()
 	}
 	all := make([]uint16, placement.Partitions)
 	for partition := range all {
--- a/internal/transport/entry/transfer.go
+++ b/internal/transport/entry/transfer.go
@@ -185,7 +185,7 @@
 // partition of the directory.
 func (e *Entry) sendNotes(keys []prefix.Key, notes ...placement.Note) {
 	if e.Peers != nil {
-		e.Peers.Note(keys, notes...)
+		e.Peers.NotifyOwner(keys, notes...)
 		return
 	}
 	e.ApplyNotes(notes)
--- a/internal/transport/peers/hints.go
+++ b/internal/transport/peers/hints.go
@@ -30,16 +30,16 @@
 	return wire.ToHints(answer)
 }
 
-// Note tells the owner of a prompt's context what became of it; keys are the
+// NotifyOwner tells the owner of a prompt's context what became of it; keys are the
 // prompt's. Notes for this entry are applied at once.
-func (p *Peers) Note(keys []prefix.Key, notes ...placement.Note) {
+func (p *Peers) NotifyOwner(keys []prefix.Key, notes ...placement.Note) {
 	route, ok := placement.Route(keys)
 	if !ok {
 		return
 	}
 	address, other := p.owner(route)
 	if !other {
-		p.Apply(notes)
+		p.StoreNotes(notes)
 		return
 	}
 	p.notes.Add(address, notes...)
--- a/internal/transport/peers/owners_test.go
+++ b/internal/transport/peers/owners_test.go
@@ -15,8 +15,8 @@
 func TestTwoOwnersDoNoHarm(t *testing.T) {
 	first, second := start(t, "e1", "d1"), start(t, "e2", "d1")
 	keys := []prefix.Key{{1, 2, 3}}
-	first.Note(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u1"})
-	second.Note(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u2"})
+	first.NotifyOwner(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u1"})
+	second.NotifyOwner(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u2"})
 	hint := func(upstream string) *placement.Hints {
 		return &placement.Hints{Cached: []placement.CachedAt{{Upstream: upstream, Blocks: 1}}}
 	}
@@ -25,7 +25,9 @@
 		t.Fatal(diff)
 	}
 	third := start(t, "e3", "d1", first.Listener.Addr().String(), second.Listener.Addr().String())
-	eventually(t, "all know all", func() bool { return first.Live() == 3 && second.Live() == 3 && third.Live() == 3 })
+	eventually(t, "all know all", func() bool {
+		return first.LiveInRegion() == 3 && second.LiveInRegion() == 3 && third.LiveInRegion() == 3
+	})
 	eventually(t, "all see the same", func() bool {
 		a, b, c := first.lookUp(keys), second.lookUp(keys), third.lookUp(keys)
 		return cmp.Diff(a, b) == "" && cmp.Diff(b, c) == ""
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -48,16 +48,16 @@
 	Seeds []string
 	// Feed is what is passed on.
 	Feed *feed.Feed
-	// Find and Apply ask and change this entry's part of the directory.
-	Find  func([]prefix.Key) *placement.Hints
-	Apply func([]placement.Note)
-	// Lend lends tokens of a team's limit that this entry owns.
-	Lend func(team string, cost float64) limits.Loan
+	// LookUpHints and Apply ask and change this entry's part of the directory.
+	LookUpHints func([]prefix.Key) *placement.Hints
+	StoreNotes  func([]placement.Note)
+	// GrantLoan lends tokens of a team's limit that this entry owns.
+	GrantLoan func(team string, cost float64) limits.Loan
 	// Ends, when set, holds what this entry knows of ends of instances, and learns what others do.
 	Ends *ends.Tracker
-	// Near says whether a failure domain is in this entry's region, whose entries share
+	// InSameRegion says whether a failure domain is in this entry's region, whose entries share
 	// one directory; when nil, all are.
-	Near func(domain string) bool
+	InSameRegion func(domain string) bool
 	// Log receives one line for each event.
 	Log *log.Logger
 	// Interval has a default when zero.
@@ -80,8 +80,8 @@
 		if p.Interval == 0 {
 			p.Interval = membership.GossipInterval
 		}
-		if p.Near == nil {
-			p.Near = func(string) bool { return true }
+		if p.InSameRegion == nil {
+			p.InSameRegion = func(string) bool { return true }
 		}
 		p.client = rpc.NewClient()
 		self := membership.EntryState{
@@ -187,8 +187,8 @@
 	p.tell()
 }
 
-// Live returns how many entries share the region's upstreams, this one included.
-func (p *Peers) Live() int {
+// LiveInRegion returns how many entries share the region's upstreams, this one included.
+func (p *Peers) LiveInRegion() int {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,8 +196,8 @@
 	return max(len(p.contacts), 1)
 }
 
-// Others returns the addresses of the other live entries of this failure domain.
-func (p *Peers) Others() []string {
+// LocalPeerAddresses returns the addresses of the other live entries of this failure domain.
+func (p *Peers) LocalPeerAddresses() []string {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -265,16 +265,16 @@
 	return p.entries.SilentDomains(clock.Now())
 }
 
-// LiveHere returns how many entries live in this failure domain, this one included.
-func (p *Peers) LiveHere() int {
+// LiveInDomain returns how many entries live in this failure domain, this one included.
+func (p *Peers) LiveInDomain() int {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(len(p.entries.Live(clock.Now())), 1)
 }
 
-// Owned returns the parts of the directory that this entry owns, in order.
-func (p *Peers) Owned() []uint16 {
+// OwnedPartitions returns the parts of the directory that this entry owns, in order.
+func (p *Peers) OwnedPartitions() []uint16 {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -290,7 +290,7 @@
 // refresh works out who owns what, if other entries share the directory than before;
 // mu must be held.
 func (p *Peers) refresh(now time.Time) {
-	contacts := p.entries.Contacts(p.Near, now)
+	contacts := p.entries.Contacts(p.InSameRegion, now)
 	if p.owners != nil && slices.Equal(contacts, p.contacts) {
 		return
 	}
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -50,11 +50,11 @@
 	quiet := &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}}
 	m.Peers = &peers.Peers{
 		Name: name, FailureDomain: domain, Listener: listener, Seeds: seeds, Feed: feed.New(), Interval: 20 * time.Millisecond,
-		Log:   quiet,
-		Ends:  &ends.Tracker{Entries: func() int { return 1 }, NoStartTimes: true, Metrics: ends.NewMetrics(), Log: quiet},
-		Find:  m.find,
-		Apply: m.apply,
-		Lend:  m.lend,
+		Log:         quiet,
+		Ends:        &ends.Tracker{Entries: func() int { return 1 }, NoStartTimes: true, Metrics: ends.NewMetrics(), Log: quiet},
+		LookUpHints: m.find,
+		StoreNotes:  m.apply,
+		GrantLoan:   m.lend,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
@@ -114,7 +114,7 @@
 	all := []*member{first, start(t, "e2", "d1", seed), start(t, "e3", "d2", seed)}
 	eventually(t, "all know all", func() bool {
 		for _, m := range all {
-			if m.Live() != len(all) {
+			if m.LiveInRegion() != len(all) {
 				return false
 			}
 		}
@@ -130,7 +130,7 @@
 	const contexts = 30
 	for i := range contexts {
 		keys := []prefix.Key{{byte(i), 7}}
-		all[0].Note(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u1"})
+		all[0].NotifyOwner(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u1"})
 	}
 	want := &placement.Hints{Cached: []placement.CachedAt{{Upstream: "u1", Blocks: 1}}}
 	for i := range contexts {
@@ -151,18 +151,18 @@
 func TestDeadOwnerIsDoneWithout(t *testing.T) {
 	first := start(t, "e1", "d1")
 	second := start(t, "e2", "d1", first.Listener.Addr().String())
-	eventually(t, "both know both", func() bool { return first.Live() == 2 && second.Live() == 2 })
+	eventually(t, "both know both", func() bool { return first.LiveInRegion() == 2 && second.LiveInRegion() == 2 })
 	second.stop()
 	for i := range 30 {
 		keys := []prefix.Key{{byte(i), 9}}
 		if h := first.lookUp(keys); len(h.Cached) != 0 {
 			t.Fatalf("hints from nowhere: %+v", h)
 		}
-		first.Note(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u1"})
+		first.NotifyOwner(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u1"})
 	}
-	eventually(t, "the dead entry is no longer counted", func() bool { return first.Live() == 1 })
+	eventually(t, "the dead entry is no longer counted", func() bool { return first.LiveInRegion() == 1 })
 	keys := []prefix.Key{{99, 9}}
-	first.Note(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u1"})
+	first.NotifyOwner(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u1"})
 	if h := first.lookUp(keys); len(h.Cached) != 1 {
 		t.Fatal("the remaining entry does not own what is left")
 	}
@@ -178,7 +178,7 @@
 		address, other := second.Relay()
 		_, own := first.Relay()
 		_, farOther := far.Relay()
-		return other && address == seed && !own && !farOther && far.Live() == 3
+		return other && address == seed && !own && !farOther && far.LiveInRegion() == 3
 	})
 	first.Leave()
 	eventually(t, "the next one relays", func() bool {
--- a/internal/transport/peers/service.go
+++ b/internal/transport/peers/service.go
@@ -26,7 +26,7 @@
 	if !ok {
 		return nil, twirp.InvalidArgumentError("keys", "a whole number of keys is needed")
 	}
-	return wire.FromHints(s.p.Find(keys)), nil
+	return wire.FromHints(s.p.LookUpHints(keys)), nil
 }
 
 // Note takes notes into this entry's part of the directory. Two entries may both
@@ -40,7 +40,7 @@
 		}
 		notes = append(notes, n)
 	}
-	s.p.Apply(notes)
+	s.p.StoreNotes(notes)
 	return &wire.NoteResponse{}, nil
 }
 
@@ -50,6 +50,6 @@
 	if !(in.Cost > 0) {
 		return nil, twirp.InvalidArgumentError("cost", "a number above 0 is needed")
 	}
-	loan := s.p.Lend(in.Team, in.Cost)
+	loan := s.p.GrantLoan(in.Team, in.Cost)
 	return &wire.LendResponse{Tokens: loan.Tokens, RetryAfterMilliseconds: uint32(min(loan.RetryAfter.Milliseconds(), math.MaxUint32))}, nil
 }
