--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -148,8 +148,8 @@
 		Source: feedSource(e.Peers, f, control),
 	}
 	if data != "" {
-		follower.Keep = feed.KeepIn(data)
-		kept, err := feed.Kept(data)
+		follower.Store = feed.StoreIn(data)
+		kept, err := feed.LoadStored(data)
 		if err != nil {
 			return failure{exitFailed, errors.Wrapf(err, "open %s", data)}
 		}
--- a/internal/transport/feed/follower.go
+++ b/internal/transport/feed/follower.go
@@ -39,8 +39,8 @@
 	// Enforce puts a state in force in this process. It returns when it is, so
 	// that the next poll reports it.
 	Enforce func(*declared.State)
-	// Keep, when set, stores each new state durably before it is in force.
-	Keep func(*declared.State) error
+	// Store, when set, stores each new state durably before it is in force.
+	Store func(*declared.State) error
 	// Client carries the calls.
 	Client *http.Client
 	// Log receives one line for each event.
@@ -107,8 +107,8 @@
 		f.full = true
 		return err
 	}
-	if f.Keep != nil {
-		err := f.Keep(next)
+	if f.Store != nil {
+		err := f.Store(next)
 		if err != nil {
 			return errors.Wrap(err, "store the declared state")
 		}
--- a/internal/transport/feed/keep.go
+++ b/internal/transport/feed/keep.go
@@ -15,8 +15,8 @@
 
 const folderPerm = 0o700
 
-// KeepIn returns a function that stores a declared state durably in a folder.
-func KeepIn(folder string) func(*declared.State) error {
+// StoreIn returns a function that stores a declared state durably in a folder.
+func StoreIn(folder string) func(*declared.State) error {
 	return func(s *declared.State) error {
 		b, err := s.Marshal()
 		if err != nil {
@@ -30,8 +30,8 @@
 	}
 }
 
-// Kept returns the declared state that a folder holds, or an empty one.
-func Kept(folder string) (*declared.State, error) {
+// LoadStored returns the declared state that a folder holds, or an empty one.
+func LoadStored(folder string) (*declared.State, error) {
 	b, err := os.ReadFile(filepath.Join(folder, keptFile))
 	if os.IsNotExist(err) {
 		return declared.New(), nil
