--- a/internal/transport/control/disk_test.go
+++ b/internal/transport/control/disk_test.go
@@ -13,13 +13,12 @@
 	"github.com/shedrock/shedrock/internal/transport/control"
 )
 
-const patience = 20 * time.Second
+const callTimeout = 20 * time.Second
 
-// TestFullDiskRefusesAndKeepsRunning fills the disk of a group of one: writes are
-// refused without being lost or half done, reads of status go on, and when there is
-// space again, so do writes.
+// While the disk of a group of one is full, writes are refused and nothing of them is applied, and
+// the status can still be read. Writes succeed again once there is space.
 func TestFullDiskRefusesAndKeepsRunning(t *testing.T) {
-	folder, restart, ledger, err := control.Open(t.TempDir())
+	folder, recovered, ledger, err := control.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,14 +29,14 @@
 		}
 		return nil
 	}
-	client := startAlone(t, &control.Replica{Folder: folder, RecoveredState: restart, Ledger: ledger})
-	apply := func(version int, patience time.Duration) (*wire.ApplyResponse, error) {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	client := startAlone(t, &control.Replica{Folder: folder, RecoveredState: recovered, Ledger: ledger})
+	apply := func(version int, callTimeout time.Duration) (*wire.ApplyResponse, error) {
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		text := fmt.Sprintf("document: models\nversion: %d\nmodels: []\n", version)
 		return client.Apply(ctx, "f", []byte(text))
 	}
-	if a, err := apply(1, patience); err != nil || a.Revision != 1 {
+	if a, err := apply(1, callTimeout); err != nil || a.Revision != 1 {
 		t.Fatal(a, err)
 	}
 	full.Store(true)
@@ -49,7 +48,7 @@
 		t.Fatalf("status: %v", status)
 	}
 	full.Store(false)
-	if a, err := apply(2, patience); err != nil || a.Result != wire.ApplyResponse_ACCEPTED || a.Revision != 2 {
+	if a, err := apply(2, callTimeout); err != nil || a.Result != wire.ApplyResponse_ACCEPTED || a.Revision != 2 {
 		t.Fatal(a, err)
 	}
 }
--- a/internal/transport/control/effects.go
+++ b/internal/transport/control/effects.go
@@ -13,44 +13,44 @@
 	"github.com/shedrock/shedrock/internal/state/ledger"
 )
 
-// effects gathers what one round has to do.
+// effects collects the effects that one round carries out at its end.
 type effects struct {
-	// frame joins the Persist effects of the round.
+	// frame merges the round's Persist effects.
 	frame *replication.Persist
-	// late holds the messages that wait for the sync.
-	late []replication.Message
+	// afterSync holds the messages to send after the sync.
+	afterSync []replication.Message
 }
 
-// durable is something to write: a frame of the log, or a whole snapshot.
-type durable struct {
+// pendingWrite is a frame of the log or a whole snapshot to be written.
+type pendingWrite struct {
 	frame *replication.Persist
 	image *replication.Snapshot
 }
 
-// collect carries out what may be done at once, and gathers the rest.
+// collect carries out the effects that need no sync, and collects the others in out.
 func (r *Replica) collect(out *effects, list []replication.Effect) {
 	for _, e := range list {
 		switch e := e.(type) {
 		case replication.Persist:
-			out.frame = join(out.frame, e)
+			out.frame = mergePersist(out.frame, e)
 		case replication.Send:
 			if e.BeforeSync {
 				r.transmit(e.Message)
 			} else {
-				out.late = append(out.late, e.Message)
+				out.afterSync = append(out.afterSync, e.Message)
 			}
 		case replication.Apply:
 			r.apply(e.Entries)
 		case replication.Restore:
-			r.restore(out, e.Snapshot)
+			r.installSnapshot(out, e.Snapshot)
 		case replication.Appended:
-			r.waiting[e.Index] = waiter{e.Term, r.proposals[e.ID]}
+			r.waiters[e.Index] = waiter{e.Term, r.proposals[e.ID]}
 			delete(r.proposals, e.ID)
 		case replication.Refused:
 			r.refuse(e)
 		case replication.ReadReady:
-			r.reading = append(r.reading, readWait{e.Index, r.readers[e.ID]})
-			delete(r.readers, e.ID)
+			r.confirmedReads = append(r.confirmedReads, confirmedRead{e.Index, r.pendingReads[e.ID]})
+			delete(r.pendingReads, e.ID)
 		case replication.RoleChanged:
 			r.Log.Info().Str("event", "role").Bool("leading", e.Leading).Str("leader", string(e.Leader)).Uint64("term", e.Term).Msg("")
 		default:
@@ -60,9 +60,9 @@
 	r.answerReads()
 }
 
-// join merges two Persist effects; the later entries replace from their first
+// mergePersist merges two Persist effects. The entries of b replace those of a from their first
 // index on.
-func join(a *replication.Persist, b replication.Persist) *replication.Persist {
+func mergePersist(a *replication.Persist, b replication.Persist) *replication.Persist {
 	if a == nil {
 		return &b
 	}
@@ -79,58 +79,59 @@
 		delete(r.proposals, e.ID)
 		ch <- answer
 	}
-	if read, ok := r.readers[e.ID]; ok {
-		delete(r.readers, e.ID)
+	if read, ok := r.pendingReads[e.ID]; ok {
+		delete(r.pendingReads, e.ID)
 		read.ch <- answer
 	}
 }
 
-// settle syncs the round, tells the machine, and sends what waited for it.
-func (r *Replica) settle(out *effects) {
+// flush syncs the round's writes, reports them to the machine, and sends the messages that had to
+// wait for the sync.
+func (r *Replica) flush(out *effects) {
 	for out.frame != nil || len(r.unsynced) > 0 {
 		if out.frame != nil {
-			r.unsynced = append(r.unsynced, durable{frame: out.frame})
+			r.unsynced = append(r.unsynced, pendingWrite{frame: out.frame})
 			out.frame = nil
 		}
 		if !r.sync() {
-			// What the messages promise is not durable: they stay unsent, and
-			// the protocol asks again.
-			out.late = nil
+			// The state that the messages promise is not durable, so they are dropped.
+			// The protocol repeats them.
+			out.afterSync = nil
 			break
 		}
 		last := r.machine.LastIndex()
 		term, _ := r.machine.TermOf(last)
 		r.collect(out, r.machine.Step(replication.Persisted{Index: last, Term: term}))
 	}
-	for _, m := range out.late {
+	for _, m := range out.afterSync {
 		r.transmit(m)
 	}
 	r.compact()
 }
 
-// sync writes what is not durable yet; it reports false when the disk refuses.
+// sync makes the unsynced writes durable. It reports false if a write fails.
 func (r *Replica) sync() bool {
 	for len(r.unsynced) > 0 {
 		err := r.write(r.unsynced[0])
 		if err != nil {
-			r.noteDisk(err)
+			r.setDiskError(err)
 			return false
 		}
 		r.unsynced = r.unsynced[1:]
 	}
-	r.noteDisk(nil)
+	r.setDiskError(nil)
 	return true
 }
 
-func (r *Replica) write(d durable) error {
+func (r *Replica) write(d pendingWrite) error {
 	if d.image != nil {
-		return r.saveImage(*d.image)
+		return r.saveSnapshot(*d.image)
 	}
 	return r.Folder.Append(toFrame(*d.frame))
 }
 
-// noteDisk logs when the disk begins and ceases to refuse.
-func (r *Replica) noteDisk(err error) {
+// setDiskError records whether writes fail, and logs when that changes.
+func (r *Replica) setDiskError(err error) {
 	if (err == nil) == (r.diskErr == nil) {
 		return
 	}
@@ -149,7 +150,7 @@
 		if e.Kind == replication.EntryCommand {
 			before := r.Ledger.Declared().Revision()
 			result = r.Ledger.Execute(e.Data)
-			r.noteDeclared(before)
+			r.publishIfChanged(before)
 			switch result := result.(type) {
 			case ledger.CurrentVersion:
 				r.publishInstalled()
@@ -160,11 +161,11 @@
 					Bool("evacuated", result.Domain.Evacuated).Uint64("revision", result.Domain.Revision).Msg("")
 			}
 		}
-		w, ok := r.waiting[e.Index]
+		w, ok := r.waiters[e.Index]
 		if !ok {
 			continue
 		}
-		delete(r.waiting, e.Index)
+		delete(r.waiters, e.Index)
 		if w.ch == nil {
 			continue
 		}
@@ -176,8 +177,8 @@
 	}
 }
 
-// noteDeclared publishes the declared state when a command has changed it.
-func (r *Replica) noteDeclared(before uint64) {
+// publishIfChanged publishes the declared state if its revision is no longer before.
+func (r *Replica) publishIfChanged(before uint64) {
 	now := r.Ledger.Declared()
 	if now.Revision() == before {
 		return
@@ -186,8 +187,8 @@
 	r.Log.Info().Str("event", "accepted").Uint64("revision", now.Revision()).Msg("")
 }
 
-// restore takes a leader's snapshot in place of the state and the log.
-func (r *Replica) restore(out *effects, s replication.Snapshot) {
+// installSnapshot replaces the state and the log by a leader's snapshot.
+func (r *Replica) installSnapshot(out *effects, s replication.Snapshot) {
 	l, err := ledger.Unmarshal(s.Data)
 	if err != nil {
 		panic(fmt.Sprintf("control: a leader's snapshot does not decode: %v", err))
@@ -195,36 +196,36 @@
 	r.Ledger = l
 	r.appliedIndex = s.Index
 	out.frame = nil
-	r.unsynced = append(r.unsynced, durable{image: &s})
+	r.unsynced = append(r.unsynced, pendingWrite{image: &s})
 	r.view.publishDeclared(l.Declared())
 	r.publishInstalled()
 	r.Log.Info().Str("event", "restored").Uint64("index", s.Index).Uint64("revision", l.Declared().Revision()).Msg("")
 }
 
-// answerReads runs the reads whose index the ledger holds.
+// answerReads runs the confirmed reads whose index is applied.
 func (r *Replica) answerReads() {
-	kept := r.reading[:0]
-	for _, w := range r.reading {
+	kept := r.confirmedReads[:0]
+	for _, w := range r.confirmedReads {
 		if w.index > r.appliedIndex {
 			kept = append(kept, w)
 			continue
 		}
-		w.request.look(r.Ledger)
+		w.request.read(r.Ledger)
 		w.request.ch <- done{}
 	}
-	r.reading = kept
+	r.confirmedReads = kept
 }
 
-// compact writes a snapshot when the log has grown long. What a rewrite leaves does not
-// count: entries that are not applied yet may be longer than the bound, and would have
-// every round write another snapshot.
+// compact writes a snapshot when the log file has grown by SnapshotBytes since its last rewrite.
+// The size after the rewrite does not count: entries that are not applied yet may exceed the limit,
+// and would cause another snapshot in every round.
 func (r *Replica) compact() {
-	if r.Folder.LogSize()-r.rewritten < r.SnapshotBytes || len(r.unsynced) > 0 {
+	if r.Folder.LogSize()-r.rewrittenLogSize < r.SnapshotBytes || len(r.unsynced) > 0 {
 		return
 	}
 	data, err := r.Ledger.Marshal()
 	if err != nil {
-		r.noteDisk(err)
+		r.setDiskError(err)
 		return
 	}
 	index := r.appliedIndex
@@ -232,10 +233,10 @@
 	image := replication.Snapshot{Index: index, Term: term, Members: r.machine.MembersAt(index), Data: data}
 	err = r.Folder.SaveSnapshot(toImage(image))
 	if err != nil {
-		r.noteDisk(err)
+		r.setDiskError(err)
 		return
 	}
-	cut := r.machine.CompactIndex(index, keptEntries, keptBytes)
+	cut := r.machine.CompactIndex(index, retainedEntries, retainedBytes)
 	r.rewrite(index)
 	if cut > r.machine.SnapshotIndex() {
 		r.machine.Step(replication.Compacted{Index: cut})
@@ -243,18 +244,18 @@
 	r.Log.Info().Str("event", "snapshot").Uint64("index", index).Int("bytes", len(data)).Msg("")
 }
 
-// rewrite shortens the log file to what follows a stored snapshot.
+// rewrite truncates the log file to the entries after a stored snapshot.
 func (r *Replica) rewrite(index uint64) {
 	p := replication.Persist{Term: r.machine.Term(), Vote: r.machine.Vote(), Entries: r.machine.EntriesAfter(index)}
 	err := r.Folder.RewriteLog(toFrame(p))
 	if err != nil {
-		r.noteDisk(err)
+		r.setDiskError(err)
 		return
 	}
-	r.rewritten = r.Folder.LogSize()
+	r.rewrittenLogSize = r.Folder.LogSize()
 }
 
-func (r *Replica) saveImage(s replication.Snapshot) error {
+func (r *Replica) saveSnapshot(s replication.Snapshot) error {
 	err := r.Folder.SaveSnapshot(toImage(s))
 	if err != nil {
 		return err
@@ -264,19 +265,19 @@
 	if err != nil {
 		return err
 	}
-	r.rewritten = r.Folder.LogSize()
+	r.rewrittenLogSize = r.Folder.LogSize()
 	return nil
 }
 
-// reconcile moves the configuration one step towards the declared replicas.
+// reconcile proposes the next change of members, if one is needed.
 func (r *Replica) reconcile(out *effects) {
-	r.repair = ""
+	r.membershipStep = ""
 	if !r.machine.Leading() || !r.machine.MembersCommitted() {
 		return
 	}
 	group := membership.Group{Members: r.machine.Members(), Last: r.machine.LastIndex(), MatchIndex: r.machine.MatchIndex}
 	next, step, ok := r.nextMembers(group)
-	r.repair = step
+	r.membershipStep = step
 	if !ok {
 		return
 	}
@@ -284,8 +285,8 @@
 	r.collect(out, r.machine.Step(replication.ProposeMembers{Members: next}))
 }
 
-// nextMembers decides the next step, towards the declared replicas or by what the
-// replicas themselves show.
+// nextMembers returns the next change of members: towards the declared replicas, or by
+// MembershipPolicy if it is set.
 func (r *Replica) nextMembers(group membership.Group) (next []replication.Member, step string, ok bool) {
 	if r.MembershipPolicy == nil {
 		return membership.NextMembers(group, r.Ledger.Declared().Control().Replicas())
@@ -293,8 +294,8 @@
 	group.Self = replication.Node(r.Folder.Incarnation())
 	group.Silent = r.machine.SilentTicks
 	joiners := slices.Collect(maps.Values(r.joiners))
-	// Whoever still needs to join asks again; an old wish of an address that came back
-	// under another incarnation must not be granted later.
+	// Replicas that still need to join repeat their requests. An old request from an address
+	// that came back with another incarnation must not be granted later.
 	clear(r.joiners)
 	return membership.Heal(group, joiners, *r.MembershipPolicy)
 }
--- a/internal/transport/control/fixture_test.go
+++ b/internal/transport/control/fixture_test.go
@@ -13,8 +13,8 @@
 	"github.com/shedrock/shedrock/internal/transport/controlclient"
 )
 
-// startAlone runs a replica, whose folder is set, as the only one of its group until the test
-// ends, and returns a client of it.
+// startAlone runs r, whose data folder is set, as the only replica of its group until the test
+// ends, and returns a client for it.
 func startAlone(t *testing.T, r *control.Replica) *controlclient.Client {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/transport/control/found.go
+++ b/internal/transport/control/found.go
@@ -9,39 +9,40 @@
 	"github.com/shedrock/shedrock/internal/state/ledger"
 )
 
-// foundInterval is how often a blank replica asks whether the rest is blank too.
-const foundInterval = 200 * time.Millisecond
+// bootstrapInterval is how often a blank replica checks whether the other initial replicas are
+// blank too.
+const bootstrapInterval = 200 * time.Millisecond
 
-// founding asks the loop to begin a new group.
-type founding struct {
+// bootstrapRequest asks the loop to start a new group.
+type bootstrapRequest struct {
 	members []replication.Member
 	done    chan<- struct{}
 }
 
-// found begins a new group when every founding replica is blank. Only the one
-// with the lowest number decides, so there is never a second founding
-// configuration; and a replica that is not blank any more never agrees to one.
-// A folder that was lost therefore waits until the control document names it.
-func (r *Replica) found(ctx context.Context) {
-	if !r.mayFound() {
+// bootstrap starts a new group once all initial replicas are blank. Only the replica with the
+// lowest ID does so, so there is never a second initial configuration, and a replica that is no
+// longer blank never takes part in one. A replica whose data folder was lost therefore waits
+// until the control document names it.
+func (r *Replica) bootstrap(ctx context.Context) {
+	if !r.mayBootstrap() {
 		return
 	}
 	for {
 		members, ok := r.allBlank(ctx)
 		if ok {
-			begun := make(chan struct{})
-			r.push(ctx, founding{members, begun})
+			done := make(chan struct{})
+			r.push(ctx, bootstrapRequest{members, done})
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(foundInterval):
+		case <-time.After(bootstrapInterval):
 		}
 	}
 }
 
-func (r *Replica) mayFound() bool {
+func (r *Replica) mayBootstrap() bool {
 	if len(r.Peers) == 0 {
 		return false
 	}
@@ -53,14 +54,14 @@
 	return r.view.get().Blank
 }
 
-// allBlank asks every founding replica, this one included.
+// allBlank returns all initial replicas, this one included, if all of them are blank.
 func (r *Replica) allBlank(ctx context.Context) ([]replication.Member, bool) {
 	var members []replication.Member
 	for _, p := range r.Peers {
 		status := r.view.get()
 		if p.ID != r.ID {
 			var err error
-			status, err = r.ask(ctx, p.Address)
+			status, err = r.fetchStatus(ctx, p.Address)
 			if err != nil {
 				return nil, false
 			}
@@ -73,15 +74,14 @@
 	return members, len(members) > 0
 }
 
-func (r *Replica) ask(ctx context.Context, address string) (*wire.StatusResponse, error) {
+func (r *Replica) fetchStatus(ctx context.Context, address string) (*wire.StatusResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	return wire.NewControlProtobufClient("http://"+address, r.client).Status(ctx, &wire.StatusRequest{})
 }
 
-// takeFounding stores the founding configuration as a snapshot, and starts the
-// machine from it.
-func (r *Replica) takeFounding(in founding) {
+// applyBootstrap stores the initial configuration as a snapshot and starts the machine from it.
+func (r *Replica) applyBootstrap(in bootstrapRequest) {
 	if r.machine.LastIndex() > 0 || r.machine.Term() > 0 {
 		return
 	}
@@ -93,7 +93,7 @@
 	s := replication.Snapshot{Index: 1, Term: 1, Members: in.members, Data: data}
 	err = r.Folder.SaveSnapshot(toImage(s))
 	if err != nil {
-		r.noteDisk(err)
+		r.setDiskError(err)
 		return
 	}
 	r.Ledger = empty
--- a/internal/transport/control/lane.go
+++ b/internal/transport/control/lane.go
@@ -11,169 +11,172 @@
 )
 
 const (
-	// laneMessages and laneBytes bound what a lane holds before it takes another
-	// message, whatever that one's size; more is lost, which the protocol allows. The
-	// bytes are bounded because what waits for a peer that was cut off stays in memory.
-	laneMessages = 1024
-	laneBytes    = 4 << 20
-	// batchBytes bounds one delivery, unless its first message is larger. What a
-	// failed delivery carried is sent again.
-	batchBytes = 1 << 20
-	// mostGrace bounds how long entries that a peer took count as on their way. Below
-	// that it is as long as their delivery: to send them again takes no less. A sync of
-	// 8 MB takes some 100 ms; the bound is for a peer that stopped before it stored them.
-	mostGrace = time.Second
-	// messageBytes is about what a message without entries takes on the wire.
-	messageBytes = 64
+	// maxQueuedMessages and maxQueuedBytes are the levels at which a queue drops further
+	// messages, which the protocol allows; below both, it accepts a message of any size. The
+	// bytes are limited because messages to an unreachable peer stay in memory.
+	maxQueuedMessages = 1024
+	maxQueuedBytes    = 4 << 20
+	// maxBatchBytes limits one delivery, unless its first message is larger. All messages of a
+	// failed delivery have to be sent again.
+	maxBatchBytes = 1 << 20
+	// maxStoreGrace limits how long entries count as in flight after their delivery. Up to this
+	// limit, it is as long as the delivery took, because sending them again takes no less. A
+	// sync of 8 MB takes about 100 ms; the limit is for a peer that stopped before it stored
+	// them.
+	maxStoreGrace = time.Second
+	// messageOverheadBytes is the approximate encoded size of a message without entries.
+	messageOverheadBytes = 64
 )
 
-// lane delivers messages to one peer in order. One delivery is under way at a time; what
-// waits meanwhile goes together in the next. Make one with newLane. It is safe for
+// sendQueue delivers messages to one peer in order. One delivery is in flight at a time; messages
+// queued meanwhile are sent together in the next. Create one with newSendQueue. It is safe for
 // concurrent use.
-type lane struct {
+type sendQueue struct {
 	mu sync.Mutex
-	// messages holds what is not delivered yet, the first of it under way.
+	// messages holds the undelivered messages. The first inFlight of them are being delivered.
 	messages []replication.Message
-	underWay int
+	inFlight int
 	// bytes is the size of messages.
 	bytes int
-	// began is when the delivery that is under way began.
+	// began is when the delivery in flight began.
 	began time.Time
-	// delivered holds the last large delivery that the peer took. It counts as on its way
-	// until graceUntil, because the peer stores it before it acknowledges.
+	// delivered holds the last large delivery that the peer accepted. It counts as in flight
+	// until graceUntil, because the peer stores the entries before it acknowledges them.
 	delivered  []replication.Message
 	graceUntil time.Time
-	// wake holds a token when messages may wait.
+	// wake holds a token if messages may be queued.
 	wake chan struct{}
 }
 
-// newLane starts the goroutine that delivers, until ctx ends. What was lost is handed to undelivered
-// once the lane does not hold it any more.
-func newLane(ctx context.Context, deliver func([]replication.Message) error, undelivered func([]replication.Message)) *lane {
-	l := &lane{wake: make(chan struct{}, 1)}
+// newSendQueue starts the goroutine that delivers messages until ctx ends. It calls undelivered
+// with the messages of a failed delivery after their removal from the queue.
+func newSendQueue(ctx context.Context, deliver func([]replication.Message) error, undelivered func([]replication.Message)) *sendQueue {
+	q := &sendQueue{wake: make(chan struct{}, 1)}
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-l.wake:
+			case <-q.wake:
 			}
-			for batch := l.take(); len(batch) > 0 && ctx.Err() == nil; batch = l.take() {
-				// A lost delivery is repeated by the protocol, so the error says nothing new.
-				taken := deliver(batch) == nil
-				l.settle(taken)
-				if !taken {
+			for batch := q.nextBatch(); len(batch) > 0 && ctx.Err() == nil; batch = q.nextBatch() {
+				// The error needs no handling, because the protocol repeats lost messages.
+				ok := deliver(batch) == nil
+				q.finishBatch(ok)
+				if !ok {
 					undelivered(batch)
 				}
 			}
 		}
 	}()
-	return l
+	return q
 }
 
-// put queues a message, or loses it when too much waits.
-func (l *lane) put(m replication.Message) {
-	l.mu.Lock()
+// enqueue queues a message, or drops it if the queue is full.
+func (q *sendQueue) enqueue(m replication.Message) {
+	q.mu.Lock()
 	size := sizeOf(m)
-	if len(l.messages) < laneMessages && l.bytes < laneBytes {
-		l.messages = append(l.messages, m)
-		l.bytes += size
+	if len(q.messages) < maxQueuedMessages && q.bytes < maxQueuedBytes {
+		q.messages = append(q.messages, m)
+		q.bytes += size
 	}
-	l.mu.Unlock()
+	q.mu.Unlock()
 	select {
-	case l.wake <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// take returns the messages of the next delivery, which is under way from now on.
-func (l *lane) take() []replication.Message {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// nextBatch returns the messages of the next delivery and marks them as in flight.
+func (q *sendQueue) nextBatch() []replication.Message {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	size := 0
-	for i, m := range l.messages {
+	for i, m := range q.messages {
 		size += sizeOf(m)
-		if i > 0 && size > batchBytes {
+		if i > 0 && size > maxBatchBytes {
 			break
 		}
-		l.underWay = i + 1
+		q.inFlight = i + 1
 	}
-	l.began = clock.Now()
-	return slices.Clone(l.messages[:l.underWay])
+	q.began = clock.Now()
+	return slices.Clone(q.messages[:q.inFlight])
 }
 
-// settle ends the delivery that is under way. Entries that wait behind a lost one would be
-// rejected, so they are lost with it, and the leader begins again with the first.
-func (l *lane) settle(ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	done, rest := l.messages[:l.underWay], slices.Clone(l.messages[l.underWay:])
+// finishBatch removes the messages of the delivery in flight. After a failure it also drops the
+// append requests queued behind them: the peer would reject them without the lost entries. The
+// leader then resends from the first lost entry.
+func (q *sendQueue) finishBatch(ok bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	done, rest := q.messages[:q.inFlight], slices.Clone(q.messages[q.inFlight:])
 	now := clock.Now()
-	if !ok || now.After(l.graceUntil) {
-		l.delivered = nil
+	if !ok || now.After(q.graceUntil) {
+		q.delivered = nil
 	}
-	if ok && sizeOf(done...) > urgentBytes {
-		l.delivered = done
-		l.graceUntil = now.Add(min(now.Sub(l.began), mostGrace))
+	if ok && sizeOf(done...) > overtakeBytes {
+		q.delivered = done
+		q.graceUntil = now.Add(min(now.Sub(q.began), maxStoreGrace))
 	}
 	if !ok {
 		rest = slices.DeleteFunc(rest, func(m replication.Message) bool { return m.Kind == replication.AppendRequest })
 	}
-	l.messages = rest
-	l.bytes = sizeOf(rest...)
-	l.underWay = 0
+	q.messages = rest
+	q.bytes = sizeOf(rest...)
+	q.inFlight = 0
 }
 
-// onTheWay returns the messages that the peer may still have to take in, in order.
-func (l *lane) onTheWay() []replication.Message {
-	if clock.Now().Before(l.graceUntil) {
-		return slices.Concat(l.delivered, l.messages)
+// pending returns, in order, the undelivered messages and those that the peer may still have to
+// store. The caller must hold mu.
+func (q *sendQueue) pending() []replication.Message {
+	if clock.Now().Before(q.graceUntil) {
+		return slices.Concat(q.delivered, q.messages)
 	}
-	return l.messages
+	return q.messages
 }
 
-// size returns the bytes of what is not delivered yet.
-func (l *lane) size() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.bytes
+// queuedBytes returns the approximate size of the undelivered messages.
+func (q *sendQueue) queuedBytes() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.bytes
 }
 
-func (l *lane) holdsSnapshot() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.ContainsFunc(l.onTheWay(), func(m replication.Message) bool { return m.Kind == replication.SnapshotRequest })
+func (q *sendQueue) holdsSnapshot() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return slices.ContainsFunc(q.pending(), func(m replication.Message) bool { return m.Kind == replication.SnapshotRequest })
 }
 
-// heldFrom returns how many of an append request's entries, from the first on, are
-// on their way.
-func (l *lane) heldFrom(m replication.Message) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	// Under one term there is one entry at each index.
+// pendingEntries returns the number of an append request's entries, counted from the first, that
+// are already pending.
+func (q *sendQueue) pendingEntries(m replication.Message) int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	// Within a term there is only one entry at each index.
 	next := m.LogIndex
-	for _, held := range l.onTheWay() {
-		last := held.LogIndex + uint64(len(held.Entries))
-		if held.Kind == replication.AppendRequest && held.Term == m.Term && held.LogIndex <= next && last > next {
+	for _, queued := range q.pending() {
+		last := queued.LogIndex + uint64(len(queued.Entries))
+		if queued.Kind == replication.AppendRequest && queued.Term == m.Term && queued.LogIndex <= next && last > next {
 			next = last
 		}
 	}
 	return int(min(next-m.LogIndex, uint64(len(m.Entries))))
 }
 
-// precedes reports whether an entry comes before all entries of the lane, so that a
-// message that rests on it does not rest on any of those.
-func (l *lane) precedes(index uint64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !slices.ContainsFunc(l.messages, func(held replication.Message) bool {
-		return len(held.Entries) > 0 && held.LogIndex < index
+// precedes reports whether the entry at index comes before all entries in the queue. An append
+// request that follows this entry then depends on none of them.
+func (q *sendQueue) precedes(index uint64) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return !slices.ContainsFunc(q.messages, func(queued replication.Message) bool {
+		return len(queued.Entries) > 0 && queued.LogIndex < index
 	})
 }
 
-// sizeOf returns about how many bytes messages take on the wire.
+// sizeOf returns the approximate encoded size of messages.
 func sizeOf(messages ...replication.Message) int {
-	size := messageBytes * len(messages)
+	size := messageOverheadBytes * len(messages)
 	for _, m := range messages {
 		for _, e := range m.Entries {
 			size += len(e.Data)
--- a/internal/transport/control/memory_test.go
+++ b/internal/transport/control/memory_test.go
@@ -7,37 +7,37 @@
 	"github.com/shedrock/shedrock/internal/transport/rpc"
 )
 
-// A replica's memory does not grow with the number of large changes, and neither does
-// what it reads at the next start.
+// A replica's memory does not grow with the number of large changes, neither while it runs nor
+// after a restart.
 func TestMemoryAfterManyLargeChanges(t *testing.T) {
 	const (
 		changes = 300
-		// mostGrowth is some times the log that is kept, and far below the 250 MB of all
-		// changes.
-		mostGrowth = 48 << 20
+		// maxGrowth, in bytes, is several times the size of the retained log, and far below the
+		// 250 MB of all changes.
+		maxGrowth = 48 << 20
 	)
 	g := newSlowGroup(t, 1)
 	leader := g.leader()
-	before := heap()
+	before := heapInUse()
 	client := rpc.NewClient()
 	for version := uint64(1); version <= changes; version++ {
-		leader.installBy(client, version, text(sizeSeen, version))
+		leader.installWith(client, version, randomText(configurationSize, version))
 	}
 	client.CloseIdleConnections()
-	grown := heap() - before
-	t.Logf("%d changes of %d bytes: the heap grew by %d MB", changes, sizeSeen, grown>>20)
-	if grown > mostGrowth {
-		t.Errorf("the heap grew by %d bytes, must be at most %d", grown, mostGrowth)
+	grown := heapInUse() - before
+	t.Logf("%d changes of %d bytes: the heap grew by %d MB", changes, configurationSize, grown>>20)
+	if grown > maxGrowth {
+		t.Errorf("the heap grew by %d bytes, must be at most %d", grown, maxGrowth)
 	}
-	g.each((*node).halt)
-	g.again(leader)
-	if grown := heap() - before; grown > mostGrowth {
-		t.Errorf("after a restart the heap is %d bytes above the start, must be at most %d", grown, mostGrowth)
+	g.each((*node).stopReplica)
+	g.restart(leader)
+	if grown := heapInUse() - before; grown > maxGrowth {
+		t.Errorf("after a restart the heap is %d bytes above the start, must be at most %d", grown, maxGrowth)
 	}
 }
 
-// heap returns the bytes that are in use.
-func heap() int64 {
+// heapInUse returns the bytes of heap in use after a garbage collection.
+func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/internal/transport/control/network.go
+++ b/internal/transport/control/network.go
@@ -11,98 +11,96 @@
 )
 
 const (
-	// deliverTimeout bounds a small delivery, so that a frozen peer is given up; a
-	// large one has the time on top that its bytes take at slowestRate.
+	// deliverTimeout limits a small delivery, so that a peer that does not respond is given up.
+	// A delivery gets in addition the time that its bytes take at minBytesPerSecond.
 	deliverTimeout = 2 * time.Second
-	// slowestRate, in bytes a second, is 1 Mbit/s: a tenth of the slowest link that
-	// deployments have. A peer that takes nothing at all is noticed sooner, by
-	// netdial.UserTimeout on the connection.
-	slowestRate = 125_000
-	// urgentBytes is how much may be on its way in order before what decides on
-	// leadership overtakes it. The slowest link of deployments, of 10 Mbit/s, carries
-	// that much in 50 ms, which is little beside the 450 ms after which a follower
-	// that hears nothing calls for an election.
-	urgentBytes = 64 << 10
+	// minBytesPerSecond is 1 Mbit/s: a tenth of the slowest link in deployments. A peer that
+	// accepts no bytes at all is detected sooner, by netdial.UserTimeout on the connection.
+	minBytesPerSecond = 125_000
+	// overtakeBytes is the size of the ordered queue above which messages that leadership depends
+	// on overtake it. The slowest link in deployments, 10 Mbit/s, carries that much in 50 ms,
+	// which is little compared with the 450 ms after which a follower that receives nothing
+	// starts an election.
+	overtakeBytes = 64 << 10
 )
 
-// sighting says where a node takes messages.
-type sighting struct {
+// peerAddress is the address at which a node receives messages.
+type peerAddress struct {
 	node    replication.Node
 	address string
 }
 
-// outgoing sends messages to one peer. The usual ones go in order. While entries or a
-// snapshot take their time on a slow link, heartbeats, votes and answers go by the side:
-// without them followers would call for elections, and the leader would believe that
-// it is alone, before a large entry has arrived anywhere.
-type outgoing struct {
+// peerSender sends messages to one peer, normally in order. While entries or a snapshot cross a
+// slow link, heartbeats, votes and responses use a second queue. Otherwise followers would start
+// elections, and the leader would consider itself isolated, before a large entry has reached any
+// of them.
+type peerSender struct {
 	address atomic.Value
-	ordered *lane
-	urgent  *lane
+	ordered *sendQueue
+	urgent  *sendQueue
 	cancel  context.CancelFunc
 }
 
-// transmit queues a message, or loses it.
+// transmit queues a message for its peer, or drops it.
 func (r *Replica) transmit(m replication.Message) {
 	address := r.addressOf(m.To)
 	if address == "" {
 		return
 	}
-	o, ok := r.outgoing[m.To]
+	s, ok := r.senders[m.To]
 	if !ok {
-		o = r.newOutgoing()
-		r.outgoing[m.To] = o
+		s = r.newPeerSender()
+		r.senders[m.To] = s
 	}
-	o.address.Store(address)
+	s.address.Store(address)
 	switch m.Kind {
 	case replication.SnapshotRequest:
-		// The one that is on its way may take longer than the machine waits for it.
-		if !o.ordered.holdsSnapshot() && r.fillSnapshot(&m) {
-			o.ordered.put(m)
+		// A snapshot in flight may take longer than the machine waits before it sends another.
+		if !s.ordered.holdsSnapshot() && r.fillSnapshot(&m) {
+			s.ordered.enqueue(m)
 		}
 	case replication.AppendRequest:
-		o.sendAppend(m, m.LogIndex <= r.machine.MatchIndex(m.To))
+		s.sendAppend(m, m.LogIndex <= r.machine.MatchIndex(m.To))
 	default:
-		o.sendBare(m, true)
+		s.sendWithoutEntries(m, true)
 	}
 }
 
-// sendAppend sends those entries that are not on their way yet. The leader repeats
-// entries at each heartbeat until it hears that they have arrived, which on a slow link
-// takes large ones many heartbeats. follows says that the peer is known to hold the entry
-// before them.
-func (o *outgoing) sendAppend(m replication.Message, follows bool) {
-	held := o.ordered.heldFrom(m)
-	bare := m
-	bare.Entries = nil
-	busy := held > 0 || o.ordered.size() > urgentBytes
-	sensible := follows || o.ordered.precedes(m.LogIndex)
-	if len(m.Entries) == 0 || busy && sensible {
-		o.sendBare(bare, sensible)
-	}
-	if held == len(m.Entries) {
+// sendAppend sends the entries that are not pending yet. The leader repeats entries at each
+// heartbeat until they are acknowledged, which takes many heartbeats for large entries on a slow
+// link. prevMatched reports whether the peer is known to hold the entry before them.
+func (s *peerSender) sendAppend(m replication.Message, prevMatched bool) {
+	pending := s.ordered.pendingEntries(m)
+	withoutEntries := m
+	withoutEntries.Entries = nil
+	backlogged := pending > 0 || s.ordered.queuedBytes() > overtakeBytes
+	mayOvertake := prevMatched || s.ordered.precedes(m.LogIndex)
+	if len(m.Entries) == 0 || backlogged && mayOvertake {
+		s.sendWithoutEntries(withoutEntries, mayOvertake)
+	}
+	if pending == len(m.Entries) {
 		return
 	}
-	if held > 0 {
-		m.LogIndex = m.Entries[held-1].Index
-		m.LogTerm = m.Entries[held-1].Term
-		m.Entries = m.Entries[held:]
+	if pending > 0 {
+		m.LogIndex = m.Entries[pending-1].Index
+		m.LogTerm = m.Entries[pending-1].Term
+		m.Entries = m.Entries[pending:]
 	}
-	o.ordered.put(m)
+	s.ordered.enqueue(m)
 }
 
-// sendBare sends a message without entries. It overtakes a large delivery if it is
-// sensible to the peer before that.
-func (o *outgoing) sendBare(m replication.Message, sensible bool) {
-	if sensible && o.ordered.size() > urgentBytes {
-		o.urgent.put(m)
+// sendWithoutEntries sends a message that has no entries. If mayOvertake is set, which requires
+// that the peer can process the message before the queued ones, it overtakes a large ordered queue.
+func (s *peerSender) sendWithoutEntries(m replication.Message, mayOvertake bool) {
+	if mayOvertake && s.ordered.queuedBytes() > overtakeBytes {
+		s.urgent.enqueue(m)
 		return
 	}
-	o.ordered.put(m)
+	s.ordered.enqueue(m)
 }
 
-// fillSnapshot puts the present state into a snapshot that is to be sent; it may
-// stand for more entries than the machine asked.
+// fillSnapshot sets the message's snapshot to the current state. The snapshot may cover more
+// entries than the machine asked for.
 func (r *Replica) fillSnapshot(m *replication.Message) bool {
 	data, err := r.Ledger.Marshal()
 	if err != nil {
@@ -126,19 +124,19 @@
 	return r.addresses[n]
 }
 
-// newOutgoing starts the goroutines that deliver one peer's messages.
-func (r *Replica) newOutgoing() *outgoing {
+// newPeerSender starts the goroutines that deliver messages to one peer.
+func (r *Replica) newPeerSender() *peerSender {
 	ctx, cancel := context.WithCancel(context.Background())
-	o := &outgoing{cancel: cancel}
+	s := &peerSender{cancel: cancel}
 	deliver := func(client *http.Client) func([]replication.Message) error {
 		return func(messages []replication.Message) error {
-			return r.deliver(ctx, client, o.address.Load().(string), messages)
+			return r.deliver(ctx, client, s.address.Load().(string), messages)
 		}
 	}
-	undelivered := func(messages []replication.Message) { r.noteUndelivered(ctx, messages) }
-	o.ordered = newLane(ctx, deliver(r.client), undelivered)
-	o.urgent = newLane(ctx, deliver(r.urgent), undelivered)
-	return o
+	undelivered := func(messages []replication.Message) { r.reportFailedSnapshots(ctx, messages) }
+	s.ordered = newSendQueue(ctx, deliver(r.client), undelivered)
+	s.urgent = newSendQueue(ctx, deliver(r.urgentClient), undelivered)
+	return s
 }
 
 func (r *Replica) deliver(ctx context.Context, client *http.Client, address string, messages []replication.Message) error {
@@ -146,16 +144,16 @@
 	for _, m := range messages {
 		batch.Messages = append(batch.Messages, wire.FromMessage(m))
 	}
-	transfer := time.Duration(sizeOf(messages...)) * time.Second / slowestRate
+	transfer := time.Duration(sizeOf(messages...)) * time.Second / minBytesPerSecond
 	ctx, cancel := context.WithTimeout(ctx, deliverTimeout+transfer)
 	defer cancel()
 	_, err := wire.NewReplicationProtobufClient("http://"+address, client).Deliver(ctx, batch)
 	return err
 }
 
-// noteUndelivered tells the machine of a snapshot that was lost: it would wait for the time in
-// which one crosses a slow link before it sends the next.
-func (r *Replica) noteUndelivered(ctx context.Context, messages []replication.Message) {
+// reportFailedSnapshots reports undelivered snapshots to the machine. Otherwise the machine would
+// wait for as long as a snapshot takes on a slow link before it sends the next one.
+func (r *Replica) reportFailedSnapshots(ctx context.Context, messages []replication.Message) {
 	for _, m := range messages {
 		if m.Kind == replication.SnapshotRequest {
 			r.push(ctx, replication.SnapshotFailed{To: m.To})
@@ -163,15 +161,15 @@
 	}
 }
 
-func (r *Replica) stopOutgoing() {
-	for _, o := range r.outgoing {
-		o.cancel()
+func (r *Replica) stopSenders() {
+	for _, s := range r.senders {
+		s.cancel()
 	}
 	r.client.CloseIdleConnections()
-	r.urgent.CloseIdleConnections()
+	r.urgentClient.CloseIdleConnections()
 }
 
-// replicationService takes the messages of other replicas.
+// replicationService receives messages from other replicas.
 type replicationService struct{ r *Replica }
 
 // Deliver queues messages for the loop.
@@ -179,14 +177,14 @@
 	for _, m := range batch.Messages {
 		msg := wire.ToMessage(m)
 		if batch.Address != "" {
-			s.r.push(ctx, sighting{msg.From, batch.Address})
+			s.r.push(ctx, peerAddress{msg.From, batch.Address})
 		}
 		s.r.push(ctx, replication.Receive{Message: msg})
 	}
 	return &wire.DeliverResponse{}, nil
 }
 
-// push hands an input to the loop, unless the caller has gone.
+// push queues an input for the loop. It reports false if ctx ends first.
 func (r *Replica) push(ctx context.Context, in any) bool {
 	select {
 	case r.inputs <- in:
--- a/internal/transport/control/norace_test.go
+++ b/internal/transport/control/norace_test.go
@@ -2,5 +2,5 @@
 
 package control_test
 
-// slowdown is 1 without the race detector.
+// slowdown is the factor by which ticks and time limits are longer; see race_test.go.
 const slowdown = 1
--- a/internal/transport/control/race_test.go
+++ b/internal/transport/control/race_test.go
@@ -2,7 +2,7 @@
 
 package control_test
 
-// slowdown is how much longer replicas with large entries wait for one another under the race
-// detector: to store and encode 8 MB takes some 100 ms without it, and beside other tests more
-// than an election's 450 ms with it.
+// slowdown is the factor by which ticks and time limits are longer under the race detector: to
+// store and encode 8 MB takes about 100 ms without it, and with it, beside other tests, more than
+// the election timeout of 450 ms.
 const slowdown = 4
--- a/internal/transport/control/replica.go
+++ b/internal/transport/control/replica.go
@@ -1,11 +1,11 @@
-// Package control runs one replica of the control log: the loop that drives the
-// pure replication machine, its disk and its network, and the services that
+// Package control runs one replica of the control log: the loop that drives the replication
+// state machine, which does no I/O itself, with its disk and network, and the services that
 // entries and operators call.
 //
-// One goroutine owns the machine, the ledger and the folder. It takes all inputs
-// that wait, steps the machine through them, and writes what they need with one
-// sync; so a busier log needs fewer syncs for each command. Messages that
-// promise durability leave only after that sync.
+// One goroutine owns the machine, the ledger and the data folder. In each round it takes all
+// queued inputs, steps the machine through them, and persists the result with one sync, so a
+// busier log needs fewer syncs per command. Messages that promise durability are sent only after
+// that sync.
 package control
 
 import (
@@ -32,29 +32,28 @@
 )
 
 const (
-	// DefaultTick is the unit of time of the replication machine. Heartbeats go
-	// out every 2 ticks, and elections begin after 6 to 12.
+	// DefaultTick is the default time unit of the replication machine. Heartbeats are sent every
+	// 2 ticks, and elections start after 6 to 12 ticks without one.
 	DefaultTick = 75 * time.Millisecond
-	// DefaultSnapshotBytes is how long the log file grows before a snapshot.
+	// DefaultSnapshotBytes is the default growth of the log file after which a snapshot is written.
 	DefaultSnapshotBytes = 8 << 20
-	// keptEntries and keptBytes bound the entries that stay in memory behind a
-	// snapshot, for followers that are only a little behind. Entries of usual
-	// commands have some hundred bytes, but one that installs a configuration has
-	// its whole text, up to megabytes: the bound in bytes keeps hundreds of those
-	// from filling the memory of all replicas at the same time. The last entry stays
-	// whatever its size. A follower that lacks more gets the snapshot, which holds
-	// only the last text.
-	keptEntries = 1024
-	keptBytes   = 4 << 20
-	// maxInputs is how many inputs one round of the loop takes.
-	maxInputs = 4096
-	// handOverTime bounds how long a leader that is stopped waits for another.
-	handOverTime = time.Second
-	// inputQueue bounds the inputs that wait.
-	inputQueue = 8192
+	// retainedEntries and retainedBytes limit the entries that stay in memory after a snapshot,
+	// for followers that are only slightly behind. Most entries have some hundred bytes, but an
+	// entry that installs a configuration contains its whole text, up to megabytes: the limit
+	// in bytes keeps hundreds of those from filling the memory of all replicas at the same time.
+	// The last entry stays whatever its size. A follower that lacks more gets the snapshot,
+	// which contains only the last text.
+	retainedEntries = 1024
+	retainedBytes   = 4 << 20
+	// maxInputsPerRound is the maximum number of inputs in one round of the loop.
+	maxInputsPerRound = 4096
+	// handOverTimeout limits how long a leader that is being stopped waits for a successor.
+	handOverTimeout = time.Second
+	// inputQueueLength is the maximum number of queued inputs.
+	inputQueueLength = 8192
 )
 
-// Peer is one founding replica, as the settings name it.
+// Peer is one of the initial replicas, as given in the settings.
 type Peer struct {
 	ID      uint64
 	Address string
@@ -62,77 +61,84 @@
 
 // Replica is one replica of the control log. Set the exported fields, then Run.
 type Replica struct {
-	// ID is this replica's number, from 1.
+	// ID is this replica's number, at least 1.
 	ID uint64
-	// Address is where other processes reach this replica.
+	// Address is the address at which other processes reach this replica.
 	Address string
-	// Peers are the founding replicas, this one included.
+	// Peers are the initial replicas, this one included. If empty, Run starts no new group.
 	Peers []Peer
 	// Folder is the open data folder. Run closes it.
 	Folder *disk.Folder
-	// RecoveredState is what Open read from the folder.
+	// RecoveredState is the state that Open read from the folder.
 	RecoveredState replication.StoredState
-	// Ledger is the state that the folder's snapshot holds.
+	// Ledger is the replicated state in the folder's snapshot.
 	Ledger *ledger.Ledger
-	// Listener takes connections. Run closes it.
+	// Listener accepts connections. Run closes it.
 	Listener net.Listener
-	// FailureDomain is that of this instance.
+	// FailureDomain is the failure domain of this instance.
 	FailureDomain string
-	// MembershipPolicy, when set, has the leader choose the replicas itself, from those that ask to
-	// join, in place of the declared ones.
+	// MembershipPolicy, if set, makes the leader choose the group's members from the replicas that
+	// request to join, instead of the declared replicas.
 	MembershipPolicy *membership.Policy
-	// Source, when set, tells others what was applied of the log.
+	// Source, if set, publishes the applied state of the log to other processes.
 	Source *fleet.Source
-	// Fleet, when set, is what this replica orders weight versions on while it leads, in
-	// place of the declared engines.
+	// Fleet, if set, is the set of engines to which this replica sends orders for weight versions
+	// while it leads, instead of the declared engines.
 	Fleet orders.Fleet
-	// OrderPredecessorTimeout and OrderInterval are passed on to the orders.Controller.
+	// OrderPredecessorTimeout and OrderInterval set PredecessorTimeout and Interval of the
+	// orders.Controller.
 	OrderPredecessorTimeout, OrderInterval time.Duration
-	// Log receives one line for each event.
+	// Log receives one line per event.
 	Log *log.Logger
-	// Tick and SnapshotBytes have defaults when zero.
+	// Tick and SnapshotBytes default to DefaultTick and DefaultSnapshotBytes.
 	Tick          time.Duration
 	SnapshotBytes int64
 
 	once   sync.Once
 	inputs chan any
 	client *http.Client
-	// urgent has connections of its own, so that what overtakes a large delivery does
-	// not wait for what the other connection has taken of it already.
-	urgent *http.Client
+	// urgentClient has separate connections, so that urgent messages do not wait for the part of
+	// a large delivery that is already written to the other connection.
+	urgentClient *http.Client
 
 	// The fields below belong to the loop's goroutine.
-	machine  *replication.Machine
-	outgoing map[replication.Node]*outgoing
-	// addresses holds where a node was last said to be.
+	machine *replication.Machine
+	senders map[replication.Node]*peerSender
+	// addresses holds the last known address of each node that has sent messages.
 	addresses map[replication.Node]string
-	waiting   map[uint64]waiter
-	proposals map[uint64]chan<- reply
-	readers   map[uint64]readRequest
-	reading   []readWait
-	nextID    uint64
-	// appliedIndex is the last entry that the ledger holds.
+	// waiters holds the proposers of appended commands, by log index.
+	waiters map[uint64]waiter
+	// proposals and pendingReads hold, by ID, the requests that the machine has not answered yet.
+	proposals    map[uint64]chan<- reply
+	pendingReads map[uint64]readRequest
+	// confirmedReads holds the reads that wait until their index is applied.
+	confirmedReads []confirmedRead
+	// nextID is the last ID given to a proposal or a read.
+	nextID uint64
+	// appliedIndex is the index of the last entry applied to the ledger.
 	appliedIndex uint64
-	// unsynced holds what a failing disk has not taken yet, in order.
-	unsynced []durable
+	// unsynced holds, in order, the writes that are not durable yet.
+	unsynced []pendingWrite
 	diskErr  error
-	// rewritten is the length of the log file after it was last rewritten.
-	rewritten int64
-	// repair says what change of the replicas is under way.
-	repair string
-	// joiners holds those that asked to join, by incarnation.
+	// rewrittenLogSize is the size of the log file after its last rewrite.
+	rewrittenLogSize int64
+	// membershipStep describes the change of members in progress.
+	membershipStep string
+	// joiners holds the replicas that requested to join, by incarnation.
 	joiners map[replication.Node]membership.Joiner
 
-	// view is what the services read.
+	// view is the loop's published state for the services.
 	view view
 }
 
+// waiter is the proposer of a command that was appended in a term.
 type waiter struct {
 	term uint64
 	ch   chan<- reply
 }
 
-type readWait struct {
+// confirmedRead is a read that may run once index is applied.
+type confirmedRead struct {
 	index   uint64
 	request readRequest
 }
@@ -143,9 +149,9 @@
 	ch      chan<- reply
 }
 
-// readRequest asks the loop to run look as a linearizable read.
+// readRequest asks the loop to run read as a linearizable read.
 type readRequest struct {
-	look func(*ledger.Ledger)
+	read func(*ledger.Ledger)
 	ch   chan<- reply
 }
 
@@ -155,24 +161,24 @@
 // done carries the result of a committed command; it is nil after a read.
 type done struct{ result ledger.Result }
 
-// refused says that nothing was appended; leader may be empty.
+// refused reports that nothing was appended. leader may be empty.
 type refused struct{ leader string }
 
-// lost says that an appended command was replaced, and will never commit.
+// lost reports that an appended command was replaced and will never commit.
 type lost struct{}
 
 func (done) reply()    {}
 func (refused) reply() {}
 func (lost) reply()    {}
 
-// Open opens a data folder and returns what a replica finds in it.
+// Open opens a data folder and returns the state stored in it.
 func Open(path string) (*disk.Folder, replication.StoredState, *ledger.Ledger, error) {
 	var frames []*command.Frame
 	folder, err := disk.Open(path, func(f *command.Frame) { frames = append(frames, f) })
 	if err != nil {
 		return nil, replication.StoredState{}, nil, err
 	}
-	restart, data, err := restore(folder.Image(), frames)
+	recovered, data, err := recoverState(folder.Image(), frames)
 	if err != nil {
 		return nil, replication.StoredState{}, nil, err
 	}
@@ -180,7 +186,7 @@
 	if data != nil {
 		l, err = ledger.Unmarshal(data)
 	}
-	return folder, restart, l, err
+	return folder, recovered, l, err
 }
 
 // Run serves until ctx ends or an invariant breaks.
@@ -188,20 +194,21 @@
 	r.init()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// Others' answers are needed until this replica has handed over.
-	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopServing()
+	// The server stays up until leadership is handed over, which needs the other replicas'
+	// responses.
+	serverCtx, stopServer := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopServer()
 	served := make(chan error, 1)
-	go func() { served <- rpc.Serve(serving, r.Listener, r.Handler()) }()
-	go r.found(ctx)
-	orderer := &orders.Controller{Leading: r.view.leading, CommitToken: r.takeToken, ConfirmLeadership: r.VerifyLeader, Fleet: r.Fleet, PredecessorTimeout: r.OrderPredecessorTimeout, Interval: r.OrderInterval, Log: r.Log}
+	go func() { served <- rpc.Serve(serverCtx, r.Listener, r.Handler()) }()
+	go r.bootstrap(ctx)
+	orderer := &orders.Controller{Leading: r.view.leading, CommitToken: r.newFencingToken, ConfirmLeadership: r.VerifyLeader, Fleet: r.Fleet, PredecessorTimeout: r.OrderPredecessorTimeout, Interval: r.OrderInterval, Log: r.Log}
 	if orderer.Fleet == nil {
 		orderer.Fleet = &orders.DeclaredEngines{State: r.view.feed.State}
 	}
 	go orderer.Run(ctx)
 	r.loop(ctx)
 	cancel()
-	stopServing()
+	stopServer()
 	err := <-served
 	closeErr := r.Folder.Close()
 	if err != nil {
@@ -218,31 +225,31 @@
 		if r.SnapshotBytes == 0 {
 			r.SnapshotBytes = DefaultSnapshotBytes
 		}
-		r.inputs = make(chan any, inputQueue)
+		r.inputs = make(chan any, inputQueueLength)
 		r.client = rpc.NewClient()
-		r.urgent = rpc.NewClient()
-		r.outgoing = map[replication.Node]*outgoing{}
+		r.urgentClient = rpc.NewClient()
+		r.senders = map[replication.Node]*peerSender{}
 		r.addresses = map[replication.Node]string{}
-		r.waiting = map[uint64]waiter{}
+		r.waiters = map[uint64]waiter{}
 		r.proposals = map[uint64]chan<- reply{}
-		r.readers = map[uint64]readRequest{}
+		r.pendingReads = map[uint64]readRequest{}
 		r.joiners = map[replication.Node]membership.Joiner{}
 		r.view.init(r.Source)
 		r.start(r.RecoveredState)
 	})
 }
 
-// start makes the machine from what the folder holds.
-func (r *Replica) start(restart replication.StoredState) {
+// start creates the machine from the recovered state.
+func (r *Replica) start(recovered replication.StoredState) {
 	seed := maphash.String(maphash.MakeSeed(), r.Folder.Incarnation())
-	r.machine = replication.New(replication.Node(r.Folder.Incarnation()), seed, restart)
-	r.appliedIndex = restart.Snapshot.Index
+	r.machine = replication.New(replication.Node(r.Folder.Incarnation()), seed, recovered)
+	r.appliedIndex = recovered.Snapshot.Index
 	r.view.publishDeclared(r.Ledger.Declared())
 	r.publishInstalled()
 	r.publish()
 }
 
-// Handler serves the replica's services; it may be used after Run has begun.
+// Handler returns a handler for the replica's services. It may be called once Run has started.
 func (r *Replica) Handler() http.Handler {
 	r.init()
 	mux := http.NewServeMux()
@@ -262,14 +269,14 @@
 func (r *Replica) loop(ctx context.Context) {
 	ticker := time.NewTicker(r.Tick)
 	defer ticker.Stop()
-	defer r.stopOutgoing()
+	defer r.stopSenders()
 	for ctx.Err() == nil {
 		r.next(ticker, ctx.Done())
 	}
 	r.handOver(ticker)
 }
 
-// next takes a round of inputs, unless stop comes first.
+// next runs one round with the queued inputs, unless stop is closed first.
 func (r *Replica) next(ticker *time.Ticker, stop <-chan struct{}) {
 	var first any
 	select {
@@ -282,13 +289,13 @@
 	r.round(r.gather(first))
 }
 
-// handOver has a leader step down before a planned stop, and takes part until another
-// leads, for a second at most.
+// handOver makes a leader step down before a planned stop. The replica keeps participating until
+// it knows a new leader, for at most handOverTimeout.
 func (r *Replica) handOver(ticker *time.Ticker) {
 	if !r.machine.Leading() || len(r.machine.Members()) == 1 {
 		return
 	}
-	limit, cancel := context.WithTimeout(context.Background(), handOverTime)
+	limit, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
 	r.round([]any{replication.Resign{}})
 	for r.machine.Leader() == "" && limit.Err() == nil {
--- a/internal/transport/control/round.go
+++ b/internal/transport/control/round.go
@@ -5,10 +5,10 @@
 	"github.com/shedrock/shedrock/internal/coordination/replication"
 )
 
-// gather takes the inputs that wait, without waiting for more.
+// gather returns first and the inputs that are already queued, without waiting for more.
 func (r *Replica) gather(first any) []any {
 	batch := []any{first}
-	for len(batch) < maxInputs {
+	for len(batch) < maxInputsPerRound {
 		select {
 		case in := <-r.inputs:
 			batch = append(batch, in)
@@ -19,7 +19,7 @@
 	return batch
 }
 
-// round steps the machine through a batch and carries out the effects.
+// round steps the machine through a batch of inputs and carries out the effects.
 func (r *Replica) round(batch []any) {
 	out := &effects{}
 	var commands []replication.Command
@@ -37,12 +37,12 @@
 			commands = r.takeProposal(commands, in)
 		case readRequest:
 			r.nextID++
-			r.readers[r.nextID] = in
+			r.pendingReads[r.nextID] = in
 			r.collect(out, r.machine.Step(replication.Read{ID: r.nextID}))
-		case sighting:
+		case peerAddress:
 			r.addresses[in.node] = in.address
-		case founding:
-			r.takeFounding(in)
+		case bootstrapRequest:
+			r.applyBootstrap(in)
 		case membership.Joiner:
 			r.joiners[in.Node] = in
 		default:
@@ -52,12 +52,12 @@
 	if len(commands) > 0 {
 		r.collect(out, r.machine.Step(replication.Propose{Commands: commands}))
 	}
-	r.settle(out)
+	r.flush(out)
 	r.publish()
 }
 
-// takeProposal queues a command for this round, or refuses it while the disk
-// takes nothing.
+// takeProposal adds a command to this round's commands, or refuses it while writes to the disk
+// fail.
 func (r *Replica) takeProposal(commands []replication.Command, in proposal) []replication.Command {
 	if r.diskErr != nil {
 		in.ch <- refused{}
--- a/internal/transport/control/service.go
+++ b/internal/transport/control/service.go
@@ -15,18 +15,18 @@
 	"github.com/shedrock/shedrock/internal/state/ledger"
 )
 
-// MetaLeader names the leader's address in the metadata of a refusal.
+// MetaLeader is the key of the leader's address in the metadata of an error.
 const MetaLeader = "leader"
 
-// MetaLost marks a command that was appended and will never commit.
+// MetaLost is the key that marks the error for a command that was appended and will never commit.
 const MetaLost = "lost"
 
-// controlService answers entries and operators.
+// controlService implements wire.Control for entries and operators.
 type controlService struct{ r *Replica }
 
-// commit has a command committed, and returns its result.
+// commit commits a command and returns its result.
 func (s controlService) commit(ctx context.Context, c *command.Command) (ledger.Result, error) {
-	// The time of day: keys of callers carry it, and all replicas compare by it.
+	// Wall-clock time, because callers' keys contain one. All replicas compare with this value.
 	c.At = time.Now().UnixMilli()
 	ch := make(chan reply, 1)
 	if !s.r.push(ctx, proposal{c, ch}) {
@@ -52,9 +52,9 @@
 	return twirp.NewError(twirp.Unavailable, "this replica does not lead or takes no writes").WithMeta(MetaLeader, leader)
 }
 
-// look runs a function over the ledger as a linearizable read. The function runs
-// in the loop, and may still run after look has given up.
-func (s controlService) look(ctx context.Context, f func(*ledger.Ledger)) error {
+// linearizableRead runs f on the ledger as a linearizable read. f runs in the loop, and may still
+// run after linearizableRead has returned an error.
+func (s controlService) linearizableRead(ctx context.Context, f func(*ledger.Ledger)) error {
 	ch := make(chan reply, 1)
 	if !s.r.push(ctx, readRequest{f, ch}) {
 		return twirp.NewError(twirp.Unavailable, "the replica is too busy")
@@ -70,8 +70,8 @@
 	}
 }
 
-// Apply submits one document. Faults of the document by itself are found before
-// anything is written to the log.
+// Apply submits one document. Faults in the document itself are reported before anything is
+// written to the log.
 func (s controlService) Apply(ctx context.Context, in *wire.ApplyRequest) (*wire.ApplyResponse, error) {
 	_, faults := declared.Parse(in.File, in.Text)
 	if len(faults) > 0 {
@@ -113,7 +113,7 @@
 // Lookup reads one record.
 func (s controlService) Lookup(ctx context.Context, in *wire.LookupRequest) (*wire.LookupResponse, error) {
 	found := make(chan *wire.Record, 1)
-	err := s.look(ctx, func(l *ledger.Ledger) {
+	err := s.linearizableRead(ctx, func(l *ledger.Ledger) {
 		record, ok := l.Record(in.Team, in.Key)
 		if !ok {
 			found <- &wire.Record{}
@@ -140,7 +140,7 @@
 // Installed reads the whole configuration.
 func (s controlService) Installed(ctx context.Context, in *wire.InstalledRequest) (*wire.InstalledResponse, error) {
 	found := make(chan ledger.Installed, 1)
-	err := s.look(ctx, func(l *ledger.Ledger) { found <- l.Installed() })
+	err := s.linearizableRead(ctx, func(l *ledger.Ledger) { found <- l.Installed() })
 	if err != nil {
 		return nil, err
 	}
@@ -162,9 +162,9 @@
 	return &wire.NameWeightsResponse{}, nil
 }
 
-// Evacuate commits the start or the end of an evacuation, unless the domain is so already. What the
-// leader knew before it proposes is part of the command, so that one which waits somewhere and comes
-// after a later change of the operator's has no effect.
+// Evacuate commits the start or the end of an evacuation, unless the domain is already in that
+// state. The command contains the revision that the leader read before the proposal, so a delayed
+// command that arrives after a later change by the operator has no effect.
 func (s controlService) Evacuate(ctx context.Context, in *wire.EvacuateRequest) (*wire.EvacuateResponse, error) {
 	if in.Domain == "" {
 		return nil, twirp.RequiredArgumentError("domain")
@@ -188,15 +188,15 @@
 	return &wire.EvacuateResponse{Revision: d.Revision, Declared: declared}, nil
 }
 
-// evacuation reads a failure domain, and the revision of the declared state.
+// evacuation reads a failure domain and the revision of the declared state.
 func (s controlService) evacuation(ctx context.Context, domain string) (d evacuation.Domain, declared uint64, err error) {
-	type found struct {
+	type domainState struct {
 		domain   evacuation.Domain
 		revision uint64
 	}
-	ch := make(chan found, 1)
-	err = s.look(ctx, func(l *ledger.Ledger) {
-		ch <- found{l.Evacuations().Domain(domain), l.Declared().Revision()}
+	ch := make(chan domainState, 1)
+	err = s.linearizableRead(ctx, func(l *ledger.Ledger) {
+		ch <- domainState{l.Evacuations().Domain(domain), l.Declared().Revision()}
 	})
 	if err != nil {
 		return evacuation.Domain{}, 0, err
@@ -205,10 +205,10 @@
 	return out.domain, out.revision, nil
 }
 
-// Join notes a replica that asks to be taken into the group; the leader alone acts on it.
+// Join records a replica's request to join the group. Only the leader acts on it.
 func (s controlService) Join(ctx context.Context, in *wire.JoinRequest) (*wire.JoinResponse, error) {
-	// The read proves that this replica leads, so the joiner asks no one in vain.
-	err := s.look(ctx, func(*ledger.Ledger) {})
+	// The read fails unless this replica leads, so a joiner's request is not lost on a follower.
+	err := s.linearizableRead(ctx, func(*ledger.Ledger) {})
 	if err != nil {
 		return nil, err
 	}
@@ -220,21 +220,22 @@
 	return &wire.JoinResponse{}, nil
 }
 
-// VerifyLeader makes sure that this replica still leads: a majority answers after the call.
+// VerifyLeader returns nil once a majority has confirmed, after the call, that this replica still
+// leads.
 func (r *Replica) VerifyLeader(ctx context.Context) error {
-	return controlService{r}.look(ctx, func(*ledger.Ledger) {})
+	return controlService{r}.linearizableRead(ctx, func(*ledger.Ledger) {})
 }
 
-// RequireWeights commits that the time is over for which requests may begin on versions of a
-// model's weights before one; only the leader can.
+// RequireWeights commits that the period has ended in which requests may start on versions of a
+// model's weights before the given one. It fails unless this replica leads.
 func (r *Replica) RequireWeights(ctx context.Context, model string, version uint64) error {
 	c := &command.Command{Body: &command.Command_RequireWeights{RequireWeights: &command.RequireWeights{Model: model, Version: version}}}
 	_, err := controlService{r}.commit(ctx, c)
 	return err
 }
 
-// takeToken commits a new fencing token for this replica's orders.
-func (r *Replica) takeToken(ctx context.Context) (uint64, error) {
+// newFencingToken commits and returns a new fencing token for this replica's orders.
+func (r *Replica) newFencingToken(ctx context.Context) (uint64, error) {
 	c := &command.Command{Body: &command.Command_TakeToken{TakeToken: &command.TakeToken{Holder: r.Folder.Incarnation()}}}
 	result, err := controlService{r}.commit(ctx, c)
 	if err != nil {
@@ -243,7 +244,7 @@
 	return result.(ledger.Token).Value, nil
 }
 
-// Status reports the replica's view; it is not linearizable.
+// Status returns this replica's own view. It is not linearizable.
 func (s controlService) Status(context.Context, *wire.StatusRequest) (*wire.StatusResponse, error) {
 	return s.r.view.get(), nil
 }
--- a/internal/transport/control/size_test.go
+++ b/internal/transport/control/size_test.go
@@ -24,24 +24,24 @@
 )
 
 const (
-	// sizeSeen is that of a configuration's text as it was seen, in bytes.
-	sizeSeen = 825_000
-	// linkRate is that of the link towards a replica, in bytes a second: 10 Mbit/s.
+	// configurationSize is the size of a configuration text observed in practice, in bytes.
+	configurationSize = 825_000
+	// linkRate is the rate of the link to a replica, in bytes per second: 10 Mbit/s.
 	linkRate = 10_000_000 / 8
-	// linkBurst is the largest piece that a link carries at a time, in bytes.
+	// linkBurst is the maximum size of one transfer on a link, in bytes.
 	linkBurst = 16 << 10
-	// sparse is what a link may carry beside the texts themselves, in bytes.
-	sparse = 200_000
+	// linkOverhead is the maximum traffic on a link besides the texts, in bytes.
+	linkOverhead = 200_000
 )
 
-// link leads to a replica's listener at linkRate, and counts what it carries.
+// link is a proxy to a replica's listener that limits the rate and counts the bytes towards it.
 type link struct {
-	listener net.Listener
-	target   string
-	limit    *rate.Limiter
-	carried  atomic.Int64
-	// gate is held while the link is cut; bytes wait meanwhile.
-	gate sync.RWMutex
+	listener    net.Listener
+	target      string
+	limit       *rate.Limiter
+	transferred atomic.Int64
+	// pauseMu is locked for writing while the link is cut. Bytes are held back meanwhile.
+	pauseMu sync.RWMutex
 }
 
 func newLink(t *testing.T) *link {
@@ -57,18 +57,18 @@
 
 func (l *link) address() string { return l.listener.Addr().String() }
 
-// serve carries connections until the test ends.
+// serve forwards connections until the listener is closed.
 func (l *link) serve(ctx context.Context) {
 	for {
 		caller, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.join(ctx, caller)
+		go l.forward(ctx, caller)
 	}
 }
 
-func (l *link) join(ctx context.Context, caller net.Conn) {
+func (l *link) forward(ctx context.Context, caller net.Conn) {
 	defer func() { _ = caller.Close() }()
 	target, err := net.Dial("tcp", l.target)
 	if err != nil {
@@ -87,29 +87,29 @@
 		if err != nil || l.limit.WaitN(ctx, n) != nil {
 			return
 		}
-		l.gate.RLock()
-		l.carried.Add(int64(n))
+		l.pauseMu.RLock()
+		l.transferred.Add(int64(n))
 		_, err = target.Write(buffer[:n])
-		l.gate.RUnlock()
+		l.pauseMu.RUnlock()
 		if err != nil {
 			return
 		}
 	}
 }
 
-// node is one replica of a group, which can be stopped and started again.
+// node is one replica of a group. It can be stopped and restarted.
 type node struct {
 	t       *testing.T
 	id      uint64
 	path    string
 	link    *link
 	replica *control.Replica
-	// snapshots counts those that the replica has written.
+	// snapshots counts the snapshots that the replica has written.
 	snapshots lineCounter
 	stop      func()
 }
 
-// lineCounter counts the lines of a log that hold a word.
+// lineCounter counts the log lines that contain a word.
 type lineCounter struct {
 	word string
 	n    atomic.Int64
@@ -122,7 +122,7 @@
 	return len(line), nil
 }
 
-// group is a control log whose replicas reach each other over slow links.
+// group is a group of replicas that are connected over slow links.
 type group struct {
 	t     *testing.T
 	nodes []*node
@@ -140,11 +140,11 @@
 		go n.link.serve(t.Context())
 		n.start(listener, g.peers())
 	}
-	t.Cleanup(func() { g.each((*node).halt) })
+	t.Cleanup(func() { g.each((*node).stopReplica) })
 	return g
 }
 
-// each calls f for all nodes at the same time.
+// each calls f for all nodes concurrently.
 func (g *group) each(f func(*node)) {
 	var wg sync.WaitGroup
 	for _, n := range g.nodes {
@@ -172,12 +172,12 @@
 
 func (n *node) start(listener net.Listener, peers []control.Peer) {
 	n.t.Helper()
-	folder, restart, ledger, err := control.Open(n.path)
+	folder, recovered, ledger, err := control.Open(n.path)
 	if err != nil {
 		n.t.Fatal(err)
 	}
 	n.replica = &control.Replica{
-		ID: n.id, Address: n.link.address(), Peers: peers, Folder: folder, RecoveredState: restart, Ledger: ledger,
+		ID: n.id, Address: n.link.address(), Peers: peers, Folder: folder, RecoveredState: recovered, Ledger: ledger,
 		Listener: listener, Log: &log.Logger{Writer: log.IOWriter{Writer: &n.snapshots}}, Tick: slowdown * control.DefaultTick,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -193,22 +193,22 @@
 	_ = r.Status()
 }
 
-// halt stops the node's replica, if it runs.
-func (n *node) halt() {
+// stopReplica stops the node's replica if it is running.
+func (n *node) stopReplica() {
 	if n.stop != nil {
 		n.stop()
 		n.stop = nil
 	}
 }
 
-// again starts a node that was stopped.
-func (g *group) again(n *node) { n.start(n.listen(n.link.target), g.peers()) }
+// restart starts a stopped node.
+func (g *group) restart(n *node) { n.start(n.listen(n.link.target), g.peers()) }
 
-// leader waits until one replica leads and a majority follows it.
+// leader waits until a replica leads and has committed an entry in the group, and returns it.
 func (g *group) leader() *node {
 	g.t.Helper()
 	var leader *node
-	await.Until(g.t, patience, "a leader that has committed", func() bool {
+	await.Until(g.t, callTimeout, "a leader that has committed", func() bool {
 		for _, n := range g.nodes {
 			s := n.replica.Status()
 			if _, ok := n.replica.Leading(); n.stop != nil && ok && s.Committed > 1 {
@@ -221,17 +221,17 @@
 	return leader
 }
 
-// install commits a configuration by one call to a node, which nothing but patience bounds.
+// install commits a configuration by one call to a node, without retries.
 func (n *node) install(version uint64, text []byte) {
 	n.t.Helper()
 	client := rpc.NewClient()
 	defer client.CloseIdleConnections()
-	n.installBy(client, version, text)
+	n.installWith(client, version, text)
 }
 
-func (n *node) installBy(client *http.Client, version uint64, text []byte) {
+func (n *node) installWith(client *http.Client, version uint64, text []byte) {
 	n.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*callTimeout)
 	defer cancel()
 	in := &wire.InstallRequest{Version: version, Text: text}
 	out, err := wire.NewControlProtobufClient("http://"+n.link.target, client).Install(ctx, in)
@@ -243,8 +243,8 @@
 	}
 }
 
-// mustHold waits until all replicas have what one has committed.
-func (g *group) mustHold(leader *node, within time.Duration) {
+// mustReplicate waits until all replicas have committed what the leader has committed.
+func (g *group) mustReplicate(leader *node, within time.Duration) {
 	g.t.Helper()
 	index := leader.replica.Status().Committed
 	await.Until(g.t, within, fmt.Sprintf("all hold entry %d", index), func() bool {
@@ -257,13 +257,14 @@
 	})
 }
 
-// mustCarryOnce fails when a link has carried a text more than once since before.
-func (g *group) mustCarryOnce(before map[uint64]int64, size int) {
+// mustTransferOnce fails the test if a link has transferred texts of the given total size more than
+// once since before.
+func (g *group) mustTransferOnce(before map[uint64]int64, size int) {
 	g.t.Helper()
 	for _, n := range g.nodes {
-		carried := n.link.carried.Load() - before[n.id]
-		if carried > int64(size)+int64(size)/2+sparse {
-			g.t.Errorf("the link of replica %d carried %d bytes for texts of %d", n.id, carried, size)
+		transferred := n.link.transferred.Load() - before[n.id]
+		if transferred > int64(size)+int64(size)/2+linkOverhead {
+			g.t.Errorf("the link to replica %d transferred %d bytes for texts of %d bytes", n.id, transferred, size)
 		}
 	}
 }
@@ -275,16 +276,16 @@
 	}
 }
 
-func (g *group) carried() map[uint64]int64 {
+func (g *group) transferred() map[uint64]int64 {
 	out := map[uint64]int64{}
 	for _, n := range g.nodes {
-		out[n.id] = n.link.carried.Load()
+		out[n.id] = n.link.transferred.Load()
 	}
 	return out
 }
 
-// text returns bytes that don't pack.
-func text(size int, seed uint64) []byte {
+// randomText returns bytes that cannot be compressed.
+func randomText(size int, seed uint64) []byte {
 	var key [32]byte
 	key[0] = byte(seed)
 	out := make([]byte, size)
@@ -292,90 +293,90 @@
 	return out
 }
 
-// transfer is how long a link takes for so many bytes.
-func transfer(size int) time.Duration {
+// transferTime returns how long a link takes to transfer size bytes.
+func transferTime(size int) time.Duration {
 	return time.Duration(float64(size) / linkRate * float64(time.Second))
 }
 
-// slack is for elections, syncs and round trips beside a transfer.
+// slack is the time allowed for elections, syncs and round trips besides a transfer.
 const slack = slowdown * 3 * time.Second
 
-// An entry of any size is committed under the leader that took it, and crosses each link
-// once.
+// An entry of any size is committed in the term in which it was proposed, and is sent over each
+// link only once.
 func TestLargeEntryCrossesSlowLinksOnce(t *testing.T) {
 	for _, times := range []int{1, 2, 10} {
-		t.Run(fmt.Sprintf("%d times the size seen", times), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d times the configuration size", times), func(t *testing.T) {
 			g := newSlowGroup(t, 3)
 			leader := g.leader()
 			leader.install(1, []byte("small"))
-			g.mustHold(leader, slack)
-			term, before := leader.replica.Status().Term, g.carried()
-			size, began := times*sizeSeen, time.Now()
-			leader.install(2, text(size, 1))
-			g.mustHold(leader, transfer(size)+slack)
-			t.Logf("held by all after %s; the link alone takes %s", time.Since(began), transfer(size))
+			g.mustReplicate(leader, slack)
+			term, before := leader.replica.Status().Term, g.transferred()
+			size, began := times*configurationSize, time.Now()
+			leader.install(2, randomText(size, 1))
+			g.mustReplicate(leader, transferTime(size)+slack)
+			t.Logf("committed on all replicas after %s; the transfer alone takes %s", time.Since(began), transferTime(size))
 			if diff := cmp.Diff(term, leader.replica.Status().Term); diff != "" {
 				t.Errorf("the leader was deposed meanwhile: %s", diff)
 			}
-			g.mustCarryOnce(before, size)
+			g.mustTransferOnce(before, size)
 		})
 	}
 }
 
-// Many large changes in a row, during which one replica is cut off: it catches up after
-// the heal, and is not sent more than it lacks.
+// A replica that is cut off during many large changes catches up once the link is restored, and
+// is not sent more than it lacks.
 func TestManyLargeChangesPastACutReplica(t *testing.T) {
 	const changes = 6
 	g := newSlowGroup(t, 3)
 	leader := g.leader()
 	leader.install(1, []byte("small"))
-	g.mustHold(leader, slack)
+	g.mustReplicate(leader, slack)
 	cut := g.nodes[int(leader.id)%3]
-	term, before := leader.replica.Status().Term, g.carried()
-	cut.link.gate.Lock()
+	term, before := leader.replica.Status().Term, g.transferred()
+	cut.link.pauseMu.Lock()
 	for i := range changes {
-		leader.install(uint64(2+i), text(sizeSeen, uint64(i)))
+		leader.install(uint64(2+i), randomText(configurationSize, uint64(i)))
 	}
-	cut.link.gate.Unlock()
-	g.mustHold(leader, transfer(2*changes*sizeSeen)+slack)
+	cut.link.pauseMu.Unlock()
+	g.mustReplicate(leader, transferTime(2*changes*configurationSize)+slack)
 	if diff := cmp.Diff(term, leader.replica.Status().Term); diff != "" {
 		t.Errorf("the leader was deposed meanwhile: %s", diff)
 	}
-	g.mustCarryOnce(before, changes*sizeSeen)
+	g.mustTransferOnce(before, changes*configurationSize)
 }
 
-// All replicas stop and start at once and go on from large entries. One that was away for
-// longer than the log is kept for gets a large snapshot over its slow link.
+// After all replicas restart at once, the group continues from large entries. A replica that was
+// stopped until the entries that it lacks were compacted gets a large snapshot over its slow link.
 func TestRestartsWithLargeEntries(t *testing.T) {
-	const size = 10 * sizeSeen
+	const size = 10 * configurationSize
 	g := newSlowGroup(t, 3)
 	leader := g.leader()
-	leader.install(1, text(size, 1))
-	g.mustHold(leader, transfer(size)+slack)
-	g.each((*node).halt)
+	leader.install(1, randomText(size, 1))
+	g.mustReplicate(leader, transferTime(size)+slack)
+	g.each((*node).stopReplica)
 	for _, n := range g.nodes {
-		g.again(n)
+		g.restart(n)
 	}
 	leader = g.leader()
-	leader.install(2, text(sizeSeen, 2))
-	g.mustHold(leader, transfer(sizeSeen)+slack)
-	away := g.nodes[int(leader.id)%3]
-	away.halt()
+	leader.install(2, randomText(configurationSize, 2))
+	g.mustReplicate(leader, transferTime(configurationSize)+slack)
+	stopped := g.nodes[int(leader.id)%3]
+	stopped.stopReplica()
 	g.setRate(rate.Inf)
 	for version := uint64(3); version < 8; version++ {
-		leader.install(version, text(size, version))
+		leader.install(version, randomText(size, version))
 	}
 	g.setRate(linkRate)
-	g.again(away)
+	g.restart(stopped)
 	began := time.Now()
-	g.mustHold(leader, transfer(size)+slack)
-	t.Logf("the one that was away holds all after %s; the link alone takes %s", time.Since(began), transfer(size))
+	g.mustReplicate(leader, transferTime(size)+slack)
+	t.Logf("the restarted replica caught up after %s; the transfer alone takes %s", time.Since(began), transferTime(size))
 }
 
-// While large entries are on their way, and the log file is longer than it should grow, no
-// snapshot is written that would not shorten it.
-func TestEntriesOnTheirWayCauseNoSnapshots(t *testing.T) {
-	const size, changes = 10 * sizeSeen, 2
+// While large entries are in flight and the log file exceeds the limit for a snapshot, no snapshot
+// is written that would not shorten the log file.
+func TestEntriesInFlightCauseNoSnapshots(t *testing.T) {
+	const size, changes = 10 * configurationSize, 2
 	g := newSlowGroup(t, 3)
 	leader := g.leader()
 	var wg sync.WaitGroup
@@ -383,9 +384,9 @@
 		wg.Go(func() {
 			client := rpc.NewClient()
 			defer client.CloseIdleConnections()
-			ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+			ctx, cancel := context.WithTimeout(context.Background(), 2*callTimeout)
 			defer cancel()
-			in := &wire.InstallRequest{Version: version, Text: text(size, version)}
+			in := &wire.InstallRequest{Version: version, Text: randomText(size, version)}
 			_, err := wire.NewControlProtobufClient("http://"+leader.link.target, client).Install(ctx, in)
 			if err != nil {
 				t.Error(err)
--- a/internal/transport/control/stored.go
+++ b/internal/transport/control/stored.go
@@ -8,9 +8,9 @@
 	"github.com/shedrock/shedrock/internal/state/command"
 )
 
-// restore joins a snapshot and the frames of the log into what a replica starts
-// from. Frames written before the snapshot may still be there.
-func restore(image *command.Image, frames []*command.Frame) (replication.StoredState, []byte, error) {
+// recoverState combines a snapshot and the frames of the log into the state that a replica starts
+// from. The log may still contain frames written before the snapshot.
+func recoverState(image *command.Image, frames []*command.Frame) (replication.StoredState, []byte, error) {
 	var out replication.StoredState
 	var data []byte
 	if image != nil {
@@ -28,7 +28,7 @@
 			if err != nil {
 				return out, nil, err
 			}
-			err = place(&out, e)
+			err = putEntry(&out, e)
 			if err != nil {
 				return out, nil, err
 			}
@@ -37,8 +37,9 @@
 	return out, data, nil
 }
 
-// place puts an entry where it belongs, replacing all from its index on.
-func place(out *replication.StoredState, e replication.Entry) error {
+// putEntry stores an entry at its index, and removes the entries from that index on. It ignores an
+// entry that the snapshot covers.
+func putEntry(out *replication.StoredState, e replication.Entry) error {
 	first := out.Snapshot.Index + 1
 	if e.Index < first {
 		return nil
--- a/internal/transport/control/view.go
+++ b/internal/transport/control/view.go
@@ -13,15 +13,15 @@
 	"github.com/shedrock/shedrock/internal/transport/fleet"
 )
 
-// appliedLifetime is how long a report of what a process has in force is shown
-// after the process was last heard.
+// appliedLifetime is how long after a process's last message the status includes its report of
+// the state that it has applied.
 const appliedLifetime = 5 * time.Minute
 
-// view is the loop's state as the services see it. It is safe for concurrent use.
+// view holds the copy of the loop's state that the services read. It is safe for concurrent use.
 type view struct {
 	// feed distributes the declared state.
 	feed *feed.Feed
-	// source is nil where instances do not register themselves.
+	// source is nil if instances do not register themselves.
 	source *fleet.Source
 
 	mu     sync.Mutex
@@ -42,7 +42,7 @@
 	v.status = s
 }
 
-// get returns the status as of the last round, with what watchers reported.
+// get returns the status as of the last round, with the states that watchers reported as applied.
 func (v *view) get() *wire.StatusResponse {
 	v.mu.Lock()
 	out := proto.CloneOf(v.status)
@@ -54,14 +54,14 @@
 	return out
 }
 
-// leading says whether this replica leads, and in which term.
+// leading reports whether this replica leads, and the current term.
 func (v *view) leading() (term uint64, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.status.Term, v.status.Leader == v.status.Incarnation && v.status.Incarnation != ""
 }
 
-// publish shows the loop's present state to the services.
+// publish updates the services' view to the loop's current state.
 func (r *Replica) publish() {
 	m := r.machine
 	s := &wire.StatusResponse{
@@ -75,7 +75,7 @@
 		AppliedIndex:  m.Commit(),
 		Revision:      r.Ledger.Declared().Revision(),
 		Records:       uint64(r.Ledger.RecordCount()),
-		Repair:        r.repair,
+		Repair:        r.membershipStep,
 		Blank:         m.LastIndex() == 0 && m.Term() == 0,
 	}
 	for _, d := range r.Ledger.Evacuations().All() {
@@ -95,24 +95,24 @@
 	if r.Source != nil {
 		r.Source.PublishLeader(s.Leader != "")
 	}
-	r.publishControl()
+	r.publishAddresses()
 }
 
-// Status returns this replica's own view; it may be used after Run has begun.
+// Status returns this replica's own view of the group. It may be called once Run has started.
 func (r *Replica) Status() *wire.StatusResponse {
 	r.init()
 	return r.view.get()
 }
 
-// Leading says whether this replica leads, and in which term; it may be used after Run has
-// begun.
+// Leading reports whether this replica leads, and the current term. It may be called once Run
+// has started.
 func (r *Replica) Leading() (term uint64, ok bool) {
 	r.init()
 	return r.view.leading()
 }
 
-// publishControl tells where the replicas are.
-func (r *Replica) publishControl() {
+// publishAddresses publishes the replicas' addresses through the fleet source.
+func (r *Replica) publishAddresses() {
 	if r.Source == nil {
 		return
 	}
@@ -124,7 +124,7 @@
 	r.Source.PublishControl(slices.Compact(addresses))
 }
 
-// publishInstalled tells what the log holds as far as it is applied here.
+// publishInstalled publishes the applied state of the log through the fleet source.
 func (r *Replica) publishInstalled() {
 	if r.Source != nil {
 		r.Source.Publish(r.Ledger.Installed(), r.Ledger.Weights())
