--- a/internal/state/directory/directory.go
+++ b/internal/state/directory/directory.go
@@ -1,104 +1,104 @@
-// Package directory remembers where kept context probably is.
+// Package directory is an index of where cached context probably is.
 //
-// Every entry of it is a hint: engines evict and stores restart without telling,
-// or tell late. A wrong hint costs a recomputation and never a wrong answer,
-// because whoever reads a block checks its incarnation, generation and bytes.
+// Every entry of it is a hint: engines evict and stores restart without a notification,
+// or with a late one. A wrong hint costs a recomputation but never causes a wrong answer,
+// because the reader of a block verifies its incarnation, generation and bytes.
 //
-// There is one context for each place in a prompt where an earlier prompt ended,
-// known by the chain key of its last full block; the blocks before it are found
-// through the same context, since one key stands for all text up to there.
+// There is one context for each position in a prompt where an earlier prompt ended,
+// identified by the chain key of its last full block. The blocks before it are found
+// through the same context, since a chain key identifies all text up to its block.
 package directory
 
 import (
 	"github.com/shedrock/shedrock/internal/state/prefix"
 )
 
-// MaxUpstreams is how many engines are remembered for one context.
+// MaxUpstreams is the maximum number of engines recorded for one context.
 const MaxUpstreams = 4
 
-// Object names an object in a store. The zero value means that there is none.
+// Object identifies an object in a store. The zero value means that there is none.
 type Object struct {
-	// Store is the store's place in the list of names of the directory, from 1.
+	// Store is the index of the store in the list of store names, from 1.
 	Store uint16
-	// Incarnation counts the blank starts of the store that the directory has seen.
+	// Incarnation is the number of times that the store was seen to start empty.
 	Incarnation uint16
-	// Blocks is how many of the context's last blocks the object holds.
+	// Blocks is the number of the context's last blocks that the object holds.
 	Blocks     uint32
 	Object     uint64
 	Generation uint64
 }
 
-// context is kept small: at the letter's size one entry holds some 7,000, and
-// the two users of today hold all of theirs on one.
+// context is kept small: at the specified fleet size one entry holds some 7,000 of them, and
+// in the two present deployments one entry holds all of them.
 type context struct {
 	// parent is the context whose object holds the blocks before this object's.
 	parent prefix.Key
 	object Object
-	// upstreams holds engine numbers plus one; the newest is first, 0 is empty.
+	// upstreams holds engine numbers plus one, the most recent first; 0 marks an unused slot.
 	upstreams [MaxUpstreams]uint16
-	// blocks is the length of the chain up to the key.
+	// blocks is the length of the chain up to the key, in blocks.
 	blocks uint32
-	// team is the number of the team whose context it is.
+	// team is the number of the team that the context belongs to.
 	team uint16
-	// turn rises with every use of any context: a higher one was used later.
-	turn uint64
-	// staler and fresher are its neighbours among the objects that its team holds in
-	// the same store, when it has one.
-	staler, fresher *context
-	// used is when the context was last asked for, in seconds.
-	used uint32
-	// older and newer make a list by age, for eviction.
+	// lastUseNumber is the value of useCount at the last use of the context.
+	lastUseNumber uint64
+	// lessRecent and moreRecent link the objectList of its store and team, if the context has an
+	// object.
+	lessRecent, moreRecent *context
+	// lastUsed is when the context was last run, in Unix seconds.
+	lastUsed uint32
+	// older and newer link the list of all contexts by last use, for eviction.
 	older, newer prefix.Key
 }
 
-// Directory is one shard. Make one with New. It is not safe for concurrent use.
+// Directory is one shard of the index. Create one with New. It is not safe for concurrent use.
 type Directory struct {
-	// contexts has at most limit members, each in the list from newest to oldest.
+	// contexts has at most limit members, all of them in the list from newest to oldest.
 	contexts map[prefix.Key]*context
 	limit    int
 	newest   prefix.Key
 	oldest   prefix.Key
-	// held lists the contexts that have objects, by store and team.
-	held map[holding]*held
-	// turns counts uses of contexts.
-	turns uint64
-	// dropped holds the objects of contexts that gave way to others.
-	dropped []Object
+	// objects lists the contexts with objects by store and team.
+	objects map[storeTeam]*objectList
+	// useCount is the number of uses of any context so far.
+	useCount uint64
+	// evicted holds the objects of evicted contexts.
+	evicted []Object
 }
 
-// New returns an empty directory for a number of contexts.
+// New returns an empty directory for at most limit contexts.
 func New(limit int) *Directory {
-	return &Directory{contexts: make(map[prefix.Key]*context), limit: limit, held: map[holding]*held{}}
+	return &Directory{contexts: make(map[prefix.Key]*context), limit: limit, objects: map[storeTeam]*objectList{}}
 }
 
 // Len returns the number of contexts.
 func (d *Directory) Len() int { return len(d.contexts) }
 
-// MatchResult is what the directory knows of a prompt. Reuse one between calls of
-// Match to avoid allocation.
+// MatchResult holds the hints for a prompt. Reuse one between calls of
+// Match to avoid allocations.
 type MatchResult struct {
-	// Cached holds, for each engine number, how many leading blocks it may have.
+	// Cached holds, for each engine number, the number of leading blocks that it may have.
 	Cached []int32
-	// LastUsed holds, for the same numbers, when that was last known, in seconds.
+	// LastUsed holds, for each engine number, when these blocks were last known to be there, in Unix seconds.
 	LastUsed []uint32
-	// touched lists the numbers set in Cached.
-	touched []uint16
-	// Objects, in order from the prompt's start, hold the first Stored blocks.
+	// holders holds the engine numbers that are set in Cached.
+	holders []uint16
+	// Objects are the objects that hold the first Stored blocks, in order from the prompt's start.
 	Objects []Object
-	// Ends holds the number of blocks up to the end of each object.
+	// Ends holds, for each object, the number of blocks from the prompt's start to the object's end.
 	Ends []int32
-	// Stored is how many leading blocks stores may have.
+	// Stored is the number of leading blocks that stores may have.
 	Stored int
-	// Contexts counts the contexts that matched.
+	// Contexts is the number of contexts that matched.
 	Contexts int
 }
 
-// reset clears what the last Match left.
+// reset clears the result of the last Match.
 func (f *MatchResult) reset(upstreams int) {
-	for _, n := range f.touched {
+	for _, n := range f.holders {
 		f.Cached[n] = 0
 	}
-	f.touched = f.touched[:0]
+	f.holders = f.holders[:0]
 	if len(f.Cached) < upstreams {
 		f.Cached = make([]int32, upstreams)
 		f.LastUsed = make([]uint32, upstreams)
@@ -109,8 +109,8 @@
 	f.Contexts = 0
 }
 
-// Match finds what is known of the prompt whose blocks have these keys. The
-// longest context is looked for first.
+// Match finds the hints for the prompt whose blocks have the given keys, the
+// longest context first.
 func (d *Directory) Match(keys []prefix.Key, upstreams int, f *MatchResult) {
 	f.reset(upstreams)
 	for i := len(keys) - 1; i >= 0; i-- {
@@ -119,45 +119,45 @@
 			continue
 		}
 		f.Contexts++
-		d.noteUpstreams(c, i+1, upstreams, f)
+		d.addUpstreams(c, i+1, upstreams, f)
 		if f.Stored == 0 && c.object.Store != 0 {
-			d.noteObjects(c, i+1, f)
+			d.addObjects(c, i+1, f)
 		}
 	}
 }
 
-func (d *Directory) noteUpstreams(c *context, blocks, upstreams int, f *MatchResult) {
+func (d *Directory) addUpstreams(c *context, blocks, upstreams int, f *MatchResult) {
 	for _, n := range c.upstreams {
 		if n != 0 && int(n) <= upstreams {
-			f.Add(int(n-1), blocks, c.used)
+			f.Add(int(n-1), blocks, c.lastUsed)
 		}
 	}
 }
 
-// Add notes that an engine may have a number of leading blocks, as was last known at
-// a second, unless it is known to have more.
-func (f *MatchResult) Add(upstream, blocks int, used uint32) {
+// Add adds the hint that an engine may have a number of leading blocks, last known at lastUsed in
+// Unix seconds. It has no effect if there is a hint to as many or more blocks.
+func (f *MatchResult) Add(upstream, blocks int, lastUsed uint32) {
 	if f.Cached[upstream] == 0 {
-		f.touched = append(f.touched, uint16(upstream))
+		f.holders = append(f.holders, uint16(upstream))
 	}
 	if int32(blocks) > f.Cached[upstream] {
 		f.Cached[upstream] = int32(blocks)
-		f.LastUsed[upstream] = used
+		f.LastUsed[upstream] = lastUsed
 	}
 }
 
-// Holders lists the engines that may have any block.
-func (f *MatchResult) Holders() []uint16 { return f.touched }
+// Holders returns the numbers of the engines that may have any block.
+func (f *MatchResult) Holders() []uint16 { return f.holders }
 
-// noteObjects follows the parents to the prompt's start; a gap on the way makes
-// the objects useless.
-func (d *Directory) noteObjects(c *context, blocks int, f *MatchResult) {
-	left := blocks
-	for c.object.Store != 0 && int(c.object.Blocks) <= left {
+// addObjects adds the objects of a context and its parents up to the prompt's start. If one
+// is missing, the others are useless and none is added.
+func (d *Directory) addObjects(c *context, blocks int, f *MatchResult) {
+	remaining := blocks
+	for c.object.Store != 0 && int(c.object.Blocks) <= remaining {
 		f.Objects = append(f.Objects, c.object)
-		f.Ends = append(f.Ends, int32(left))
-		left -= int(c.object.Blocks)
-		if left == 0 {
+		f.Ends = append(f.Ends, int32(remaining))
+		remaining -= int(c.object.Blocks)
+		if remaining == 0 {
 			f.Stored = blocks
 			reverse(f)
 			return
@@ -179,12 +179,12 @@
 	}
 }
 
-// RecordRun says that an engine has just run a prompt, and so has its blocks; key is
-// that of the last one. second is the time in seconds.
+// RecordRun records that an engine has just run a prompt, and so has its blocks. key is the
+// key of the last block, and second the Unix time in seconds.
 func (d *Directory) RecordRun(key prefix.Key, blocks, upstream int, second uint32) {
-	d.touchParents(key)
+	d.refreshParents(key)
 	c := d.context(key, blocks)
-	c.used = second
+	c.lastUsed = second
 	n := uint16(upstream + 1)
 	at := MaxUpstreams - 1
 	for i, other := range c.upstreams {
@@ -197,12 +197,12 @@
 	c.upstreams[0] = n
 }
 
-// maxParents bounds how far the beginnings of a context are followed.
+// maxParents bounds the number of parents of a context that are refreshed.
 const maxParents = 64
 
-// touchParents makes the beginnings of a context as new as itself: without their
-// objects its own is of no use.
-func (d *Directory) touchParents(key prefix.Key) {
+// refreshParents moves the parents of a context to the front of the list: without their
+// objects the context's own object is useless.
+func (d *Directory) refreshParents(key prefix.Key) {
 	c, ok := d.contexts[key]
 	for range maxParents {
 		if !ok || c.object.Store == 0 {
@@ -217,8 +217,8 @@
 	}
 }
 
-// RecordStored says that a store has sealed an object with the last blocks of the
-// chain of a team's context; parent is the key before them, or the zero key at the
+// RecordStored records that a store has sealed an object with the last blocks of the
+// chain of a team's context. parent is the key of the block before them, or the zero key at the
 // prompt's start.
 func (d *Directory) RecordStored(key, parent prefix.Key, blocks int, team uint16, o Object) {
 	c := d.context(key, blocks)
@@ -228,7 +228,7 @@
 	c.parent = parent
 }
 
-// RecordEviction says that an engine no longer has the block of a key.
+// RecordEviction records that an engine no longer has the block of a key.
 func (d *Directory) RecordEviction(key prefix.Key, upstream int) {
 	c, ok := d.contexts[key]
 	if !ok {
@@ -244,14 +244,14 @@
 	}
 }
 
-// DropUpstream drops every hint to an engine, as after lost cache events.
+// DropUpstream removes every hint to an engine, as after lost cache events.
 func (d *Directory) DropUpstream(upstream int) {
 	for key := range d.contexts {
 		d.RecordEviction(key, upstream)
 	}
 }
 
-// DropObject drops the hint to an object that a store has refused.
+// DropObject removes the hint to the object of a key, as after a store refused it.
 func (d *Directory) DropObject(key prefix.Key) {
 	c, ok := d.contexts[key]
 	if ok {
@@ -259,7 +259,7 @@
 	}
 }
 
-// DropStore drops every hint to one incarnation of a store.
+// DropStore removes every hint to one incarnation of a store.
 func (d *Directory) DropStore(store, incarnation uint16) {
 	for _, c := range d.contexts {
 		if c.object.Store == store && c.object.Incarnation == incarnation {
@@ -268,7 +268,7 @@
 	}
 }
 
-// Stored returns the object kept for a key.
+// Stored returns the object of a key.
 func (d *Directory) Stored(key prefix.Key) (Object, bool) {
 	c, ok := d.contexts[key]
 	if !ok || c.object.Store == 0 {
@@ -277,7 +277,8 @@
 	return c.object, true
 }
 
-// context returns the context of a key as the newest one, and makes room for it.
+// context returns the context of a key and moves it to the front of the list. If it is new, the oldest
+// one is evicted when the directory is full.
 func (d *Directory) context(key prefix.Key, blocks int) *context {
 	c, ok := d.contexts[key]
 	if ok {
@@ -293,11 +294,11 @@
 	return c
 }
 
-// TakeEvicted returns, once, the objects of contexts that gave way to others: nobody else
-// knows of them, so they are to be freed.
+// TakeEvicted returns and clears the objects of evicted contexts. There is no other reference to
+// them, so the caller must free them in the stores.
 func (d *Directory) TakeEvicted() []Object {
-	out := d.dropped
-	d.dropped = nil
+	out := d.evicted
+	d.evicted = nil
 	return out
 }
 
@@ -305,7 +306,7 @@
 	c := d.contexts[d.oldest]
 	key := d.oldest
 	if c.object.Store != 0 {
-		d.dropped = append(d.dropped, c.object)
+		d.evicted = append(d.evicted, c.object)
 		d.setObject(c, Object{})
 	}
 	d.unlink(c)
@@ -313,8 +314,8 @@
 }
 
 func (d *Directory) link(key prefix.Key, c *context) {
-	d.turns++
-	c.turn = d.turns
+	d.useCount++
+	c.lastUseNumber = d.useCount
 	d.refresh(c)
 	c.older = d.newest
 	c.newer = prefix.Key{}
--- a/internal/state/directory/directory_test.go
+++ b/internal/state/directory/directory_test.go
@@ -26,7 +26,7 @@
 	return out
 }
 
-// found is what a match says, in a form that compares.
+// found holds the compared fields of a MatchResult.
 type found struct {
 	Cached []int32
 	Ends   []int32
@@ -54,14 +54,14 @@
 		do   func()
 		want found
 	}{
-		{"the longest at each engine, and a chain of objects", func() {}, found{[]int32{4, 8, 0}, []int32{4, 8}, 8}},
+		{"the longest prefix at each engine, and a chain of objects", func() {}, found{[]int32{4, 8, 0}, []int32{4, 8}, 8}},
 		{"an engine evicts", func() { d.RecordEviction(prompt[7], 1) }, found{[]int32{4, 0, 0}, []int32{4, 8}, 8}},
 		{"a store refuses the newest", func() { d.DropObject(prompt[7]) }, found{[]int32{4, 0, 0}, []int32{4}, 4}},
-		{"the newest without its beginning is of no use", func() {
+		{"the newest object is useless without its parent", func() {
 			d.RecordStored(prompt[7], prompt[3], 8, 0, object(3, 4))
 			d.DropObject(prompt[3])
 		}, found{[]int32{4, 0, 0}, nil, 0}},
-		{"a store restarts blank", func() {
+		{"a store restarts empty", func() {
 			d.RecordStored(prompt[3], prefix.Key{}, 4, 0, object(4, 4))
 			d.DropStore(1, 0)
 		}, found{[]int32{4, 0, 0}, nil, 0}},
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestBounded keeps the newest contexts, in any order of notes.
-func TestBounded(t *testing.T) {
+// The directory keeps the most recently used contexts, for any order of runs.
+func TestEvictsOldestContexts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 8
 		d := directory.New(limit)
@@ -116,7 +116,7 @@
 	})
 }
 
-// BenchmarkMemory reports the memory of one kept context.
+// BenchmarkMemory reports the memory of one context.
 func BenchmarkMemory(b *testing.B) {
 	const contexts = 200_000
 	for range b.N {
--- a/internal/state/directory/held.go
+++ b/internal/state/directory/held.go
@@ -1,79 +1,79 @@
 package directory
 
-// holding is one team's part of one store.
-type holding struct{ store, team uint16 }
+// storeTeam identifies the objects of one team in one store.
+type storeTeam struct{ store, team uint16 }
 
-// held lists the contexts of a holding that have objects, from stalest to freshest use,
-// and counts their blocks.
-type held struct {
-	stalest, freshest *context
-	blocks            int
+// objectList is the linked list of the contexts with objects of one storeTeam, from the least to the most
+// recently used one, with the number of their blocks.
+type objectList struct {
+	oldest, newest *context
+	blocks         int
 }
 
-func (h *held) add(c *context) {
-	c.staler = h.freshest
-	c.fresher = nil
-	if h.freshest != nil {
-		h.freshest.fresher = c
+func (h *objectList) add(c *context) {
+	c.lessRecent = h.newest
+	c.moreRecent = nil
+	if h.newest != nil {
+		h.newest.moreRecent = c
 	} else {
-		h.stalest = c
+		h.oldest = c
 	}
-	h.freshest = c
+	h.newest = c
 	h.blocks += int(c.object.Blocks)
 }
 
-func (h *held) remove(c *context) {
-	if c.staler != nil {
-		c.staler.fresher = c.fresher
+func (h *objectList) remove(c *context) {
+	if c.lessRecent != nil {
+		c.lessRecent.moreRecent = c.moreRecent
 	} else {
-		h.stalest = c.fresher
+		h.oldest = c.moreRecent
 	}
-	if c.fresher != nil {
-		c.fresher.staler = c.staler
+	if c.moreRecent != nil {
+		c.moreRecent.lessRecent = c.lessRecent
 	} else {
-		h.freshest = c.staler
+		h.newest = c.lessRecent
 	}
-	c.staler = nil
-	c.fresher = nil
+	c.lessRecent = nil
+	c.moreRecent = nil
 	h.blocks -= int(c.object.Blocks)
 }
 
-// setObject changes a context's object, and the lists of what teams hold.
+// setObject changes a context's object and updates the object lists.
 func (d *Directory) setObject(c *context, o Object) {
 	if c.object.Store != 0 {
-		key := holding{c.object.Store, c.team}
-		d.held[key].remove(c)
-		if d.held[key].stalest == nil {
-			delete(d.held, key)
+		key := storeTeam{c.object.Store, c.team}
+		d.objects[key].remove(c)
+		if d.objects[key].oldest == nil {
+			delete(d.objects, key)
 		}
 	}
 	c.object = o
 	if o.Store == 0 {
 		return
 	}
-	key := holding{o.Store, c.team}
-	if d.held[key] == nil {
-		d.held[key] = &held{}
+	key := storeTeam{o.Store, c.team}
+	if d.objects[key] == nil {
+		d.objects[key] = &objectList{}
 	}
-	d.held[key].add(c)
+	d.objects[key].add(c)
 }
 
-// refresh makes a context the freshest of its holding.
+// refresh moves a context to the most recent end of its object list.
 func (d *Directory) refresh(c *context) {
 	if c.object.Store == 0 {
 		return
 	}
-	h := d.held[holding{c.object.Store, c.team}]
-	if h.freshest != c {
+	h := d.objects[storeTeam{c.object.Store, c.team}]
+	if h.newest != c {
 		h.remove(c)
 		h.add(c)
 	}
 }
 
-// BlocksByTeam returns how many blocks of a store each team holds, by team number.
+// BlocksByTeam returns the number of blocks that each team has in a store, by team number.
 func (d *Directory) BlocksByTeam(store uint16) map[uint16]int {
 	out := map[uint16]int{}
-	for key, h := range d.held {
+	for key, h := range d.objects {
 		if key.store == store {
 			out[key.team] = h.blocks
 		}
@@ -81,24 +81,24 @@
 	return out
 }
 
-// EvictLeastRecentlyUsed forgets the objects of a store whose contexts were used longest ago,
-// until they hold a number of blocks, and returns them. A team that holds no more than
-// its guard is passed over.
-func (d *Directory) EvictLeastRecentlyUsed(store uint16, blocks int, guards map[uint16]int) []Object {
+// EvictLeastRecentlyUsed removes the least recently used objects of a store until they amount to the
+// given number of blocks, and returns them. Teams that hold no more than their guaranteed blocks
+// are skipped.
+func (d *Directory) EvictLeastRecentlyUsed(store uint16, blocks int, guaranteed map[uint16]int) []Object {
 	var out []Object
 	for blocks > 0 {
-		var stalest *context
-		for key, h := range d.held {
-			if key.store == store && h.blocks > guards[key.team] && (stalest == nil || h.stalest.turn < stalest.turn) {
-				stalest = h.stalest
+		var oldest *context
+		for key, h := range d.objects {
+			if key.store == store && h.blocks > guaranteed[key.team] && (oldest == nil || h.oldest.lastUseNumber < oldest.lastUseNumber) {
+				oldest = h.oldest
 			}
 		}
-		if stalest == nil {
+		if oldest == nil {
 			break
 		}
-		out = append(out, stalest.object)
-		blocks -= int(stalest.object.Blocks)
-		d.setObject(stalest, Object{})
+		out = append(out, oldest.object)
+		blocks -= int(oldest.object.Blocks)
+		d.setObject(oldest, Object{})
 	}
 	return out
 }
--- a/internal/state/directory/held_test.go
+++ b/internal/state/directory/held_test.go
@@ -11,13 +11,13 @@
 	"github.com/shedrock/shedrock/internal/state/prefix"
 )
 
-// TestHeldFollowsObjects draws what happens to contexts and objects, and compares what
-// teams hold, and what leaves first, with a plain list.
+// Applies random operations to contexts and objects, and compares the blocks of each team and
+// the order of eviction with a plain list.
 func TestHeldFollowsObjects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const contexts = 12
 		d := directory.New(100)
-		var order []int // contexts by use, stalest first
+		var order []int // contexts by last use, the least recent first
 		stored := map[int]uint64{}
 		use := func(n int) {
 			order = append(slices.DeleteFunc(order, func(o int) bool { return o == n }), n)
@@ -37,15 +37,15 @@
 				d.DropObject(key(n + 1))
 				delete(stored, n)
 			case 3:
-				guards := map[uint16]int{0: 2}
+				guaranteed := map[uint16]int{0: 2}
 				var got []uint64
-				for _, o := range d.EvictLeastRecentlyUsed(1, 1, guards) {
+				for _, o := range d.EvictLeastRecentlyUsed(1, 1, guaranteed) {
 					got = append(got, o.Object)
 				}
 				var want []uint64
-				if gone, ok := stalest(order, stored, team, guards); ok {
-					want = append(want, stored[gone])
-					delete(stored, gone)
+				if evicted, ok := leastRecentlyUsed(order, stored, team, guaranteed); ok {
+					want = append(want, stored[evicted])
+					delete(stored, evicted)
 				}
 				if diff := cmp.Diff(want, got); diff != "" {
 					t.Fatal(diff)
@@ -66,11 +66,12 @@
 	return out
 }
 
-// stalest is the first context in the order of use whose team holds more than its guard.
-func stalest(order []int, stored map[int]uint64, team func(int) uint16, guards map[uint16]int) (n int, ok bool) {
+// leastRecentlyUsed returns the first context in the order of use whose team holds more than its guaranteed
+// blocks.
+func leastRecentlyUsed(order []int, stored map[int]uint64, team func(int) uint16, guaranteed map[uint16]int) (n int, ok bool) {
 	held := count(stored, team)
 	for _, n := range order {
-		if _, ok := stored[n]; ok && held[team(n)] > guards[team(n)] {
+		if _, ok := stored[n]; ok && held[team(n)] > guaranteed[team(n)] {
 			return n, true
 		}
 	}
