--- a/internal/state/deployment/deployment.go
+++ b/internal/state/deployment/deployment.go
@@ -64,8 +64,8 @@
 	Timeout time.Duration
 	// Objective is the time within which an answer, or its first event, is in time.
 	Objective time.Duration
-	// Pause is the longest time between two events of an answer that is in time.
-	Pause time.Duration
+	// GapObjective is the longest time between two events of an answer that is in time.
+	GapObjective time.Duration
 	// Rank is 0 for the most urgent requests.
 	Rank int
 	// Targets has at least one entry with a weight above 0.
@@ -78,8 +78,8 @@
 	Resumable bool
 }
 
-// Repeats reports whether a request on the route may run more than once.
-func (r Route) Repeats() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
+// AllowsRetries reports whether a request on the route may run more than once.
+func (r Route) AllowsRetries() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
 
 // Target is a service that takes a share of a route's requests.
 type Target struct {
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -116,7 +116,7 @@
 	j.urgency = config.Urgency(j.team, j.route)
 	j.service = j.route.Service(rand.Float64())
 	j.deadline = r.Arrived.Add(min(j.route.Timeout, r.Patience()))
-	j.attempts = retry.RequestAttempts{MaxAttempts: max(1, j.route.Attempts), Idempotent: j.route.Repeats(), Streamed: j.route.Kind == deployment.Stream}
+	j.attempts = retry.RequestAttempts{MaxAttempts: max(1, j.route.Attempts), Idempotent: j.route.AllowsRetries(), Streamed: j.route.Kind == deployment.Stream}
 	j.lastEvent = r.After
 	j.server.mu.Lock()
 	j.server.window(j.service).CountRequest(clock.Now())
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -132,7 +132,7 @@
 func (j *job) pickInfo(view *fleet.View) balance.PickInfo {
 	service := view.Config.Services[j.service]
 	pickInfo := balance.PickInfo{
-		Tried: j.triedInstances, Busy: view.Busy, Failing: view.Failing, Retryable: j.route.Repeats(), Entries: view.Entries, Rank: view.Rank,
+		Tried: j.triedInstances, Busy: view.Busy, Failing: view.Failing, Retryable: j.route.AllowsRetries(), Entries: view.Entries, Rank: view.Rank,
 		Cold: j.server.Cold.capacity(service.ColdRate), ColdFor: service.ColdFor, Evacuated: view.Evacuated, Returned: view.Returned,
 	}
 	p := j.request.Prompt
