--- a/internal/state/changes/changes_test.go
+++ b/internal/state/changes/changes_test.go
@@ -10,19 +10,19 @@
 	"github.com/shedrock/shedrock/internal/state/changes"
 )
 
-// book is a log with the newest changes of its items.
-type book struct {
+// testLog is a Log with a map of each item's newest change.
+type testLog struct {
 	changes.Log[string]
 	newest map[string]uint64
 }
 
-func newBook() *book {
-	b := &book{newest: map[string]uint64{}}
+func newTestLog() *testLog {
+	b := &testLog{newest: map[string]uint64{}}
 	b.Newest = func(item string) uint64 { return b.newest[item] }
 	return b
 }
 
-func (b *book) add(item string) { b.newest[item] = b.Add(item) }
+func (b *testLog) add(item string) { b.newest[item] = b.Add(item) }
 
 func list(changes iter.Seq2[uint64, string]) []string {
 	out := []string{}
@@ -32,9 +32,9 @@
 	return out
 }
 
-// Only the newest change of each item that is not forgotten is listed, in either order.
+// Only the newest change of each item that was not deleted is listed, in either order.
 func TestNewestChangesInOrder(t *testing.T) {
-	b := newBook()
+	b := newTestLog()
 	for _, item := range []string{"a", "b", "c", "a", "d"} {
 		b.add(item)
 	}
@@ -58,9 +58,9 @@
 	}
 }
 
-// Many changes of few items leave the newest of each.
+// After many changes of few items, the log still lists the newest change of each.
 func TestOutdatedChangesAreDropped(t *testing.T) {
-	b := newBook()
+	b := newTestLog()
 	const items, rounds = 700, 50
 	want := []string{}
 	for round := range rounds {
