--- a/internal/state/prefix/prefix.go
+++ b/internal/state/prefix/prefix.go
@@ -1,16 +1,16 @@
-// Package prefix computes the keys under which kept context is found.
+// Package prefix computes the keys by which stored context (KV cache) is looked up.
 //
-// A prompt is cut into fixed blocks of text. Each block's key is a digest over
-// the block and the key before it, so one key stands for the whole prompt up to
-// that point. The chain starts from a salt that is derived with a secret from
-// team, model and weight version: two teams that send the same manual get
-// unrelated keys, and so does one team after a weight swap.
+// A prompt is split into blocks of fixed size. The key of a block is a digest of the
+// block and the previous block's digest, so it identifies the whole prompt up to the
+// end of the block. The chain starts from a salt, which is an HMAC of team, model and
+// weight version under the deployment's secret: two teams that send the same manual get
+// unrelated keys, and so does one team after its model's weight version changes.
 //
-// Invariant: a block that is not full has no key. The text
+// Invariant: an incomplete block has no key. The text
 //
 //	"user\nlist the valves" (21 bytes, block of 256)
 //
-// therefore has none, and is always computed.
+// therefore has no key, and its context is always computed.
 package prefix
 
 import (
@@ -21,8 +21,8 @@
 )
 
 const (
-	// BytesPerToken is how many bytes of text the system counts as one token.
-	// Upstreams report exact counts; this only feeds estimates.
+	// BytesPerToken is the number of bytes of text that are estimated to be one token.
+	// It is used only for estimates; upstreams report exact counts.
 	BytesPerToken = 4
 	// BlockTokens is the length of one block in tokens.
 	BlockTokens = 64
@@ -32,13 +32,13 @@
 	KeySize = 16
 )
 
-// Key stands for a prompt's text up to the end of one block.
+// Key identifies a prompt's text up to the end of one block.
 type Key [KeySize]byte
 
-// String gives the key in hexadecimal.
+// String returns the key in hexadecimal.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// ParseKey reads a key written by String; ok is false when s is no key.
+// ParseKey parses the result of Key.String; ok is false when s is not a valid key.
 func ParseKey(s string) (k Key, ok bool) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != KeySize {
@@ -47,14 +47,14 @@
 	return Key(b), true
 }
 
-// Salt separates the keys of teams, models and weight versions.
+// Salt makes keys differ between teams, models and weight versions.
 type Salt [sha256.Size]byte
 
-// String gives the salt in hexadecimal, as it is sent to engines.
+// String returns the salt in hexadecimal, the form that is sent to engines.
 func (s Salt) String() string { return hex.EncodeToString(s[:]) }
 
 // NewSalt derives the salt of one team, model and weight version from the
-// deployment's secret. Lengths are written before the names, so that team "ab"
+// deployment's secret. Each name is prefixed with its length, so that team "ab"
 // with model "c" differs from team "a" with model "bc".
 func NewSalt(secret []byte, team, model, version string) Salt {
 	mac := hmac.New(sha256.New, secret)
@@ -67,8 +67,8 @@
 	return Salt(mac.Sum(nil))
 }
 
-// Chain returns the key of each full block of text, in order. salt is any byte
-// string; engines use the hexadecimal form that they are sent.
+// Chain returns the keys of the complete blocks of text, in order. salt may be any byte
+// string; engines pass the hexadecimal form that they are sent.
 func Chain(salt string, text []byte) []Key {
 	n := len(text) / BlockBytes
 	keys := make([]Key, 0, n)
--- a/internal/state/prefix/prefix_test.go
+++ b/internal/state/prefix/prefix_test.go
@@ -9,7 +9,8 @@
 	"github.com/shedrock/shedrock/internal/state/prefix"
 )
 
-// TestSaltsDiffer holds the salt to every part of what it separates.
+// TestSaltsDiffer checks that the salt depends on the secret and on each name, and on where
+// one name ends and the next begins.
 func TestSaltsDiffer(t *testing.T) {
 	type parts struct{ secret, team, model, version string }
 	base := parts{"secret", "team", "model", "v1"}
@@ -29,8 +30,8 @@
 	}
 }
 
-// TestChain checks that a key stands for all text before it, and that a block that is
-// not full has none.
+// TestChain checks that a key depends on all text up to the end of its block, and that an
+// incomplete block has no key.
 func TestChain(t *testing.T) {
 	text := strings.Repeat("a", 3*prefix.BlockBytes+1)
 	whole := prefix.Chain("salt", []byte(text))
@@ -42,6 +43,6 @@
 	}
 	key, ok := prefix.ParseKey(whole[0].String())
 	if !ok || key != whole[0] {
-		t.Fatal("a key does not read back")
+		t.Fatal("ParseKey did not return the key that String formatted")
 	}
 }
