--- a/internal/state/command/doc.go
+++ b/internal/state/command/doc.go
@@ -1,4 +1,4 @@
-// Package command holds the messages of the control log as they are written to
-// disk and sent between replicas. Fields are only ever added, so that a newer
-// binary reads an older folder.
+// Package command contains the protobuf messages of the control log, as written to disk and
+// sent between replicas. Fields are only added, so that a newer binary can read a data
+// folder written by an older one.
 package command
