--- a/internal/transport/peers/facts.go
+++ b/internal/transport/peers/facts.go
@@ -8,34 +8,38 @@
 	"github.com/shedrock/shedrock/internal/protocol/wire"
 )
 
-// spreadWait joins what is seen at once into one message.
-const spreadWait = 20 * time.Millisecond
+// broadcastDelay is the pause between broadcasts, so that facts observed shortly after each other go
+// into one message.
+const broadcastDelay = 20 * time.Millisecond
 
-// spread tells others at once of new facts: whoever saw one tells its failure domain, whose relay
-// tells the other domains' relays, and each of these its own. What is lost on the way is found by
-// gossip, which compares digests.
-func (p *Peers) spread(ctx context.Context) {
-	seen := uint64(0)
+// broadcastFacts sends new facts to other entries without waiting for the next gossip. The entry that
+// observed a fact sends it to its failure domain, whose relay sends it to the other domains' relays;
+// each of these sends it to its own domain. Lost messages are made up for by gossip, which compares
+// digests.
+func (p *Peers) broadcastFacts(ctx context.Context) {
+	previous := uint64(0)
 	for {
 		changed := p.Ends.Changed()
-		now := p.Ends.LocalFacts()
-		p.spreadOnce(now > seen)
-		seen = now
+		current := p.Ends.LocalFacts()
+		p.broadcastFactsOnce(current > previous)
+		previous = current
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case <-time.After(spreadWait):
+		case <-time.After(broadcastDelay):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// spreadOnce tells whom this entry has to tell; own says that it saw something itself.
-func (p *Peers) spreadOnce(own bool) {
+// broadcastFactsOnce sends all facts to the entries that this one is responsible for: those of its
+// failure domain if it is the relay or sawLocal is set, and the other domains' relays if it is the
+// relay. sawLocal says that this entry has observed a new fact itself.
+func (p *Peers) broadcastFactsOnce(sawLocal bool) {
 	p.mu.Lock()
 	now := clock.Now()
 	targets := p.entries.BroadcastTargets(now)
@@ -45,7 +49,7 @@
 	if !p.addFacts(message) {
 		return
 	}
-	if own || relays {
+	if sawLocal || relays {
 		for _, address := range targets.Local {
 			p.send(address, message)
 		}
@@ -55,7 +59,7 @@
 	}
 }
 
-// addFacts adds all facts to a message; it reports whether there are any.
+// addFacts adds all facts and their digest to a message, and reports whether there are any facts.
 func (p *Peers) addFacts(message *wire.GossipMessage) bool {
 	facts, digest := p.Ends.Snapshot()
 	message.Facts = wire.FromFacts(facts, clock.Now())
@@ -63,22 +67,24 @@
 	return len(facts) > 0
 }
 
-// addDigest adds to a message what tells whether its receiver knows the same.
+// addDigest adds the digest of all facts to a message, so that the receiver can tell whether it has
+// the same facts.
 func (p *Peers) addDigest(message *wire.GossipMessage) {
 	if p.Ends != nil {
 		_, message.FactsDigest = p.Ends.Snapshot()
 	}
 }
 
-// hearFacts takes the facts that another entry told.
-func (p *Peers) hearFacts(from string, m *wire.GossipMessage) {
+// receiveFacts merges the facts in a message from another entry.
+func (p *Peers) receiveFacts(from string, m *wire.GossipMessage) {
 	if p.Ends != nil {
 		p.Ends.Merge(from, wire.ToFacts(m.Facts, clock.Now()))
 	}
 }
 
-// answerFacts takes another entry's facts, and tells it all of this one's if it knows others.
-func (p *Peers) answerFacts(in, answer *wire.GossipMessage) {
+// replyWithFacts merges the facts in a message from another entry, and adds all of this entry's facts
+// to the answer if the digests differ.
+func (p *Peers) replyWithFacts(in, answer *wire.GossipMessage) {
 	if p.Ends == nil {
 		return
 	}
@@ -86,15 +92,16 @@
 	if len(in.Entries) > 0 {
 		from = in.Entries[0].Name
 	}
-	p.hearFacts(from, in)
+	p.receiveFacts(from, in)
 	p.addDigest(answer)
 	if in.FactsDigest != answer.FactsDigest {
 		p.addFacts(answer)
 	}
 }
 
-// sendMissing tells another entry all facts if its answer shows that it lacks some.
-func (p *Peers) sendMissing(ctx context.Context, address string, sent, answer *wire.GossipMessage) {
+// sendMissingFacts sends all facts to another entry if the digest in its answer differs and the message
+// sent to it had only a digest.
+func (p *Peers) sendMissingFacts(ctx context.Context, address string, sent, answer *wire.GossipMessage) {
 	if p.Ends == nil || len(sent.Facts) > 0 {
 		return
 	}
@@ -104,6 +111,6 @@
 	if !p.addFacts(message) || message.FactsDigest == answer.FactsDigest {
 		return
 	}
-	// An answer that is lost is asked for with the next gossip.
+	// The error is ignored: if the call fails, the next gossip compares digests again.
 	_, _ = p.peer(address).Gossip(ctx, message)
 }
--- a/internal/transport/peers/hints.go
+++ b/internal/transport/peers/hints.go
@@ -9,19 +9,19 @@
 	"github.com/shedrock/shedrock/internal/state/prefix"
 )
 
-// Hints returns what the owner of a prompt's context knows of it; nil means that
-// this entry's own directory is to be asked. An owner that does not answer in time
-// is not waited for.
+// Hints asks the owner of a prompt's context for its hints. It returns nil if this
+// entry's own directory is to be used, because this entry is the owner or the keys have
+// no route, and empty hints if the owner does not answer within ownerTimeout.
 func (p *Peers) Hints(ctx context.Context, keys []prefix.Key) *placement.Hints {
 	route, ok := placement.Route(keys)
 	if !ok {
 		return nil
 	}
-	address, other := p.owner(route)
-	if !other {
+	address, remote := p.owner(route)
+	if !remote {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, findTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	answer, err := p.peer(address).Find(ctx, &wire.FindRequest{Keys: wire.FromKeys(keys)})
 	if err != nil {
@@ -30,24 +30,24 @@
 	return wire.ToHints(answer)
 }
 
-// NotifyOwner tells the owner of a prompt's context what became of it; keys are the
-// prompt's. Notes for this entry are applied at once.
+// NotifyOwner queues notes on a prompt's context for the owner of that context; keys are
+// the prompt's. If this entry is the owner, the notes are stored at once.
 func (p *Peers) NotifyOwner(keys []prefix.Key, notes ...placement.Note) {
 	route, ok := placement.Route(keys)
 	if !ok {
 		return
 	}
-	address, other := p.owner(route)
-	if !other {
+	address, remote := p.owner(route)
+	if !remote {
 		p.StoreNotes(notes)
 		return
 	}
 	p.notes.Add(address, notes...)
 }
 
-// flush sends the notes that wait.
-func (p *Peers) flush(ctx context.Context) {
-	ticker := time.NewTicker(noteInterval)
+// flushNotes sends the queued notes every noteFlushInterval until ctx ends.
+func (p *Peers) flushNotes(ctx context.Context) {
+	ticker := time.NewTicker(noteFlushInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -68,6 +68,7 @@
 	for _, n := range notes {
 		request.Notes = append(request.Notes, wire.FromNote(n))
 	}
-	// A lost note costs a recomputation, and says nothing that must be known.
+	// The error is ignored: correctness does not depend on notes, and a lost one costs a
+	// recomputation.
 	_, _ = p.peer(address).Note(ctx, request)
 }
--- a/internal/transport/peers/notes.go
+++ b/internal/transport/peers/notes.go
@@ -6,36 +6,36 @@
 	"github.com/shedrock/shedrock/internal/coordination/placement"
 )
 
-// maxNotes bounds the notes that wait for one owner; more are lost, and cost a
-// recomputation each.
-const maxNotes = 4096
+// maxQueuedNotes is the number of notes queued for one owner from which on more are
+// dropped. Each dropped note costs a recomputation.
+const maxQueuedNotes = 4096
 
-// Notes holds the notes that wait for their owners, by address. It is safe for
+// NoteQueue holds the notes that are to be sent, by the address of their owner. It is safe for
 // concurrent use, and its zero value is empty.
-type Notes struct {
+type NoteQueue struct {
 	mu sync.Mutex
-	// waiting is guarded by mu, and belongs to Take's caller once Take returned it:
-	// a map that was given away is never written again.
-	waiting map[string][]placement.Note
+	// queued is guarded by mu. Once Take has returned a map it belongs to the caller,
+	// and is not written again.
+	queued map[string][]placement.Note
 }
 
-// Add queues notes for one owner, unless too many wait for it.
-func (n *Notes) Add(address string, notes ...placement.Note) {
+// Add queues notes for one owner, or drops them if its queue is full.
+func (n *NoteQueue) Add(address string, notes ...placement.Note) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.waiting == nil {
-		n.waiting = map[string][]placement.Note{}
+	if n.queued == nil {
+		n.queued = map[string][]placement.Note{}
 	}
-	if len(n.waiting[address]) < maxNotes {
-		n.waiting[address] = append(n.waiting[address], notes...)
+	if len(n.queued[address]) < maxQueuedNotes {
+		n.queued[address] = append(n.queued[address], notes...)
 	}
 }
 
-// Take returns what waits and leaves nothing.
-func (n *Notes) Take() map[string][]placement.Note {
+// Take returns all queued notes and empties the queue.
+func (n *NoteQueue) Take() map[string][]placement.Note {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	taken := n.waiting
-	n.waiting = nil
-	return taken
+	notes := n.queued
+	n.queued = nil
+	return notes
 }
--- a/internal/transport/peers/notes_test.go
+++ b/internal/transport/peers/notes_test.go
@@ -9,18 +9,18 @@
 	"github.com/shedrock/shedrock/internal/transport/peers"
 )
 
-// What was taken is never written again, also when it was empty: the sender goes
-// through it without the lock.
-func TestTakenNotesStayAsTheyWere(t *testing.T) {
-	var notes peers.Notes
+// A map returned by Take must not be written again, even if it was empty: the sender
+// iterates over it without holding the lock.
+func TestTakenNotesAreNotModified(t *testing.T) {
+	var notes peers.NoteQueue
 	notes.Add("a", placement.Note{})
 	notes.Take()
 	empty := notes.Take()
 	notes.Add("b", placement.Note{})
 	if diff := cmp.Diff(0, len(empty)); diff != "" {
-		t.Errorf("a map that was given away was written (-want +got):\n%s", diff)
+		t.Errorf("notes in a map that Take had returned (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(1, len(notes.Take()["b"])); diff != "" {
-		t.Errorf("notes after a take (-want +got):\n%s", diff)
+		t.Errorf("notes queued after Take (-want +got):\n%s", diff)
 	}
 }
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -1,9 +1,10 @@
-// Package peers joins the entries of a deployment: they learn of each other by
-// gossip, those of a region share a directory of kept context and the rates of teams,
-// of which each owns a part, and one in each failure domain passes the declared state on.
+// Package peers connects the entries of a deployment. They discover each other by
+// gossip. The entries of a region share a directory of cached contexts and the rate
+// limits of teams, each entry owning a part of both. One entry in each failure domain,
+// the relay, distributes the declared state to the others.
 //
-// Nothing here is needed to serve: an entry that is cut off from all others serves
-// with what it knows itself.
+// Serving does not depend on this package: an entry that is partitioned from all others
+// serves with its local state.
 package peers
 
 import (
@@ -29,49 +30,50 @@
 )
 
 const (
-	// gossipTimeout bounds one exchange.
+	// gossipTimeout bounds one gossip call.
 	gossipTimeout = time.Second
-	// findTimeout is how long a prompt waits for the directory's owner; after it
-	// the prompt is placed without hints.
-	findTimeout = 25 * time.Millisecond
-	// noteInterval joins the notes for one owner into one call.
-	noteInterval = 50 * time.Millisecond
-	noteTimeout  = time.Second
+	// ownerTimeout is how long a prompt waits for the owner of its part of the directory or
+	// of its team's limit. When it expires, the prompt is placed without hints, or Borrow
+	// fails.
+	ownerTimeout = 25 * time.Millisecond
+	// noteFlushInterval is how often queued notes are sent, in one call for each owner.
+	noteFlushInterval = 50 * time.Millisecond
+	noteTimeout       = time.Second
 )
 
-// Peers is one entry's part. Set the exported fields, then Run.
+// Peers is one entry's view of the others, and its service to them. Set the exported fields, then
+// call Run.
 type Peers struct {
 	Name, FailureDomain string
-	// Listener takes other entries' calls. Run closes it.
+	// Listener accepts other entries' calls. Run closes it.
 	Listener net.Listener
-	// Seeds are addresses of other entries to begin with.
+	// Seeds are the addresses of other entries to contact first.
 	Seeds []string
-	// Feed is what is passed on.
+	// Feed is the declared state, served to other entries.
 	Feed *feed.Feed
-	// LookUpHints and Apply ask and change this entry's part of the directory.
+	// LookUpHints and StoreNotes read and change this entry's part of the directory.
 	LookUpHints func([]prefix.Key) *placement.Hints
 	StoreNotes  func([]placement.Note)
 	// GrantLoan lends tokens of a team's limit that this entry owns.
 	GrantLoan func(team string, cost float64) limits.Loan
-	// Ends, when set, holds what this entry knows of ends of instances, and learns what others do.
+	// Ends, when set, holds the facts on ends of instances, which are exchanged with other entries.
 	Ends *ends.Tracker
-	// InSameRegion says whether a failure domain is in this entry's region, whose entries share
-	// one directory; when nil, all are.
+	// InSameRegion reports whether a failure domain is in this entry's region, whose entries share
+	// one directory. If nil, all domains are in the region.
 	InSameRegion func(domain string) bool
-	// Log receives one line for each event.
-	Log *log.Logger
-	// Interval has a default when zero.
+	Log          *log.Logger
+	// Interval is the gossip interval; 0 means membership.GossipInterval.
 	Interval time.Duration
 
 	once   sync.Once
 	client *http.Client
-	notes  Notes
+	notes  NoteQueue
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 	entries *membership.Entries
-	// contacts are the entries that share the directory, and owners says who owns each
-	// part of it.
+	// contacts are the live entries that share the directory. owners has the owner of each
+	// part of the directory.
 	contacts, owners []membership.Contact
 }
 
@@ -88,11 +90,11 @@
 			Name: p.Name, Address: p.Listener.Addr().String(), FailureDomain: p.FailureDomain, Start: uint64(clock.Now().UnixNano()),
 		}
 		p.entries = membership.NewEntries(self, membership.RandomSeed())
-		p.refresh(clock.Now())
+		p.refreshOwners(clock.Now())
 	})
 }
 
-// Run serves and gossips until ctx ends.
+// Run serves other entries and gossips with them until ctx ends.
 func (p *Peers) Run(ctx context.Context) error {
 	p.init()
 	mux := http.NewServeMux()
@@ -102,9 +104,9 @@
 	mux.Handle(feedServer.PathPrefix(), feedServer)
 	var group sync.WaitGroup
 	group.Go(func() { p.gossip(ctx) })
-	group.Go(func() { p.flush(ctx) })
+	group.Go(func() { p.flushNotes(ctx) })
 	if p.Ends != nil {
-		group.Go(func() { p.spread(ctx) })
+		group.Go(func() { p.broadcastFacts(ctx) })
 	}
 	err := rpc.Serve(ctx, p.Listener, mux)
 	group.Wait()
@@ -115,7 +117,7 @@
 	ticker := time.NewTicker(p.Interval)
 	defer ticker.Stop()
 	for {
-		p.tell()
+		p.gossipOnce()
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -124,26 +126,26 @@
 	}
 }
 
-// tell exchanges what is known with the entries whose turn it is.
-func (p *Peers) tell() {
+// gossipOnce sends the current gossip messages to the targets of this interval.
+func (p *Peers) gossipOnce() {
 	now := clock.Now()
 	p.mu.Lock()
 	targets := p.entries.Tick(p.Seeds, now)
-	near := wire.FromGossip(p.entries.LocalGossip(now))
-	far := wire.FromGossip(p.entries.RemoteGossip(now))
-	p.refresh(now)
+	localMessage := wire.FromGossip(p.entries.LocalGossip(now))
+	remoteMessage := wire.FromGossip(p.entries.RemoteGossip(now))
+	p.refreshOwners(now)
 	p.mu.Unlock()
-	p.addDigest(near)
-	p.addDigest(far)
+	p.addDigest(localMessage)
+	p.addDigest(remoteMessage)
 	for _, address := range targets.Local {
-		p.send(address, near)
+		p.send(address, localMessage)
 	}
 	for _, address := range targets.Remote {
-		p.send(address, far)
+		p.send(address, remoteMessage)
 	}
 }
 
-// send sends a message in the background and takes the answer.
+// send sends a message in the background and processes the answer.
 func (p *Peers) send(address string, message *wire.GossipMessage) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), gossipTimeout)
@@ -152,9 +154,9 @@
 		if err != nil {
 			return
 		}
-		p.hear(answer)
-		p.hearFacts(address, answer)
-		p.sendMissing(ctx, address, message, answer)
+		p.receive(answer)
+		p.receiveFacts(address, answer)
+		p.sendMissingFacts(ctx, address, message, answer)
 	}()
 }
 
@@ -162,37 +164,38 @@
 	return wire.NewPeersProtobufClient("http://"+address, p.client)
 }
 
-// hear takes what another entry told, asks it for what it knows more of, and returns
-// the answer for it.
-func (p *Peers) hear(m *wire.GossipMessage) (answer membership.Gossip) {
+// receive processes a message from another entry, requests from it the failure domains of which
+// it has newer members, and returns the reply.
+func (p *Peers) receive(m *wire.GossipMessage) (answer membership.Gossip) {
 	g := wire.ToGossip(m)
 	p.mu.Lock()
 	now := clock.Now()
-	heard := p.entries.Receive(g, now)
-	p.refresh(now)
-	question := p.entries.DomainRequest(heard.Outdated)
+	result := p.entries.Receive(g, now)
+	p.refreshOwners(now)
+	request := p.entries.DomainRequest(result.Outdated)
 	p.mu.Unlock()
-	if len(heard.Outdated) > 0 {
-		p.send(g.States[0].Address, wire.FromGossip(question))
+	if len(result.Outdated) > 0 {
+		p.send(g.States[0].Address, wire.FromGossip(request))
 	}
-	return heard.Reply
+	return result.Reply
 }
 
-// Leave tells the others at once that this entry takes no more work.
+// Leave announces at once that this entry accepts no more work.
 func (p *Peers) Leave() {
 	p.init()
 	p.mu.Lock()
 	p.entries.Leave()
 	p.mu.Unlock()
-	p.tell()
+	p.gossipOnce()
 }
 
-// LiveInRegion returns how many entries share the region's upstreams, this one included.
+// LiveInRegion returns the number of live entries that share the region's upstreams, including
+// this one.
 func (p *Peers) LiveInRegion() int {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.refresh(clock.Now())
+	p.refreshOwners(clock.Now())
 	return max(len(p.contacts), 1)
 }
 
@@ -211,7 +214,7 @@
 }
 
 // Relay returns the address of the entry that follows the control log for this
-// failure domain; ok is false when that is this entry.
+// failure domain; ok is false if it is this entry.
 func (p *Peers) Relay() (address string, ok bool) {
 	p.init()
 	p.mu.Lock()
@@ -220,15 +223,15 @@
 	return address, !relays
 }
 
-// relay returns the address of this failure domain's relay, and whether that is this entry; mu
+// relay returns the address of this failure domain's relay, and whether it is this entry. mu
 // must be held.
 func (p *Peers) relay(now time.Time) (address string, self bool) {
 	relay := p.entries.Relay(now)
 	return relay.Address, relay.Name == p.Name
 }
 
-// owner returns the address of the entry that owns a prompt's context; ok is false
-// when that is this entry.
+// owner returns the address of the entry that owns the part of the directory with a prompt's
+// context; ok is false if it is this entry.
 func (p *Peers) owner(route prefix.Key) (address string, ok bool) {
 	p.init()
 	p.mu.Lock()
@@ -237,18 +240,19 @@
 	return owner.Address, owner.Name != p.Name
 }
 
-// Borrow asks the owner of a team's limit for tokens; own is true when that is this
-// entry, and err is set when the owner does not answer in time.
-func (p *Peers) Borrow(ctx context.Context, team string, cost float64) (loan limits.Loan, own bool, err error) {
-	part := xxhash.Sum64String(team) % placement.Partitions
+// Borrow requests tokens from the owner of a team's limit. isOwner is true if that is this
+// entry, which then has to take them locally. It fails if the call to the owner fails or takes longer
+// than ownerTimeout.
+func (p *Peers) Borrow(ctx context.Context, team string, cost float64) (loan limits.Loan, isOwner bool, err error) {
+	partition := xxhash.Sum64String(team) % placement.Partitions
 	p.init()
 	p.mu.Lock()
-	owner := p.owners[part]
+	owner := p.owners[partition]
 	p.mu.Unlock()
 	if owner.Name == p.Name {
 		return limits.Loan{}, true, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, findTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	answer, err := p.peer(owner.Address).Lend(ctx, &wire.LendRequest{Team: team, Cost: cost})
 	if err != nil {
@@ -257,7 +261,8 @@
 	return limits.Loan{Tokens: answer.Tokens, RetryAfter: time.Duration(answer.RetryAfterMilliseconds) * time.Millisecond}, false, nil
 }
 
-// SilentDomains reports which failure domains have had entries and have none in reach.
+// SilentDomains returns every other failure domain that has had entries since this one started;
+// the value is true if none of the domain's entries are reachable now.
 func (p *Peers) SilentDomains() map[string]bool {
 	p.init()
 	p.mu.Lock()
@@ -265,7 +270,7 @@
 	return p.entries.SilentDomains(clock.Now())
 }
 
-// LiveInDomain returns how many entries live in this failure domain, this one included.
+// LiveInDomain returns the number of live entries in this failure domain, including this one.
 func (p *Peers) LiveInDomain() int {
 	p.init()
 	p.mu.Lock()
@@ -279,17 +284,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []uint16
-	for part, owner := range p.owners {
+	for partition, owner := range p.owners {
 		if owner.Name == p.Name {
-			out = append(out, uint16(part))
+			out = append(out, uint16(partition))
 		}
 	}
 	return out
 }
 
-// refresh works out who owns what, if other entries share the directory than before;
-// mu must be held.
-func (p *Peers) refresh(now time.Time) {
+// refreshOwners recomputes the owners if the set of entries that share the directory has
+// changed. mu must be held.
+func (p *Peers) refreshOwners(now time.Time) {
 	contacts := p.entries.Contacts(p.InSameRegion, now)
 	if p.owners != nil && slices.Equal(contacts, p.contacts) {
 		return
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -22,20 +22,20 @@
 )
 
 const (
-	patience = 20 * time.Second
+	waitTimeout = 20 * time.Second
 )
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	await.Until(t, patience, what, ok)
+	await.Until(t, waitTimeout, what, ok)
 }
 
-// member is one entry's part with a directory of its own.
+// member is an entry's Peers with a directory and a lender in memory.
 type member struct {
 	*peers.Peers
 	mu    sync.Mutex
 	notes map[prefix.Key]placement.Note
-	// lent counts the loans of each team.
+	// lent is the number of loans by team.
 	lent map[string]int
 	stop context.CancelFunc
 }
@@ -52,9 +52,9 @@
 		Name: name, FailureDomain: domain, Listener: listener, Seeds: seeds, Feed: feed.New(), Interval: 20 * time.Millisecond,
 		Log:         quiet,
 		Ends:        &ends.Tracker{Entries: func() int { return 1 }, NoStartTimes: true, Metrics: ends.NewMetrics(), Log: quiet},
-		LookUpHints: m.find,
-		StoreNotes:  m.apply,
-		GrantLoan:   m.lend,
+		LookUpHints: m.localHints,
+		StoreNotes:  m.storeNotes,
+		GrantLoan:   m.grantLoan,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
@@ -67,7 +67,7 @@
 	return m
 }
 
-func (m *member) find(keys []prefix.Key) *placement.Hints {
+func (m *member) localHints(keys []prefix.Key) *placement.Hints {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n, ok := m.notes[keys[len(keys)-1]]
@@ -77,7 +77,7 @@
 	return &placement.Hints{Cached: []placement.CachedAt{{Upstream: n.Upstream, Blocks: n.Blocks}}}
 }
 
-func (m *member) apply(notes []placement.Note) {
+func (m *member) storeNotes(notes []placement.Note) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, n := range notes {
@@ -85,34 +85,34 @@
 	}
 }
 
-func (m *member) lend(team string, cost float64) limits.Loan {
+func (m *member) grantLoan(team string, cost float64) limits.Loan {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lent[team]++
 	return limits.Loan{Tokens: cost}
 }
 
-func (m *member) held() int {
+func (m *member) noteCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.notes)
 }
 
-// lookUp asks as a prompt does: the owner, or this entry's own part.
-func (m *member) lookUp(keys []prefix.Key) *placement.Hints {
+// hintsFor returns the hints that a prompt gets: the owner's, or this entry's if it is the owner.
+func (m *member) hintsFor(keys []prefix.Key) *placement.Hints {
 	if h := m.Hints(context.Background(), keys); h != nil {
 		return h
 	}
-	return m.find(keys)
+	return m.localHints(keys)
 }
 
-// startThree starts three entries in two failure domains, which know each other.
+// startThree starts three entries in two failure domains and waits until they know each other.
 func startThree(t *testing.T) []*member {
 	t.Helper()
 	first := start(t, "e1", "d1")
 	seed := first.Listener.Addr().String()
 	all := []*member{first, start(t, "e2", "d1", seed), start(t, "e3", "d2", seed)}
-	eventually(t, "all know all", func() bool {
+	eventually(t, "all entries know each other", func() bool {
 		for _, m := range all {
 			if m.LiveInRegion() != len(all) {
 				return false
@@ -123,8 +123,8 @@
 	return all
 }
 
-// TestContextIsFoundFromEveryEntry notes contexts at one entry, and asks for them at
-// all others.
+// TestContextIsFoundFromEveryEntry sends notes on contexts from one entry. All entries must
+// find these contexts, and each entry must own some but not all of them.
 func TestContextIsFoundFromEveryEntry(t *testing.T) {
 	all := startThree(t)
 	const contexts = 30
@@ -136,41 +136,41 @@
 	for i := range contexts {
 		for _, m := range all {
 			keys := []prefix.Key{{byte(i), 7}}
-			eventually(t, "the context is found", func() bool { return cmp.Diff(want, m.lookUp(keys)) == "" })
+			eventually(t, "every entry finds the context", func() bool { return cmp.Diff(want, m.hintsFor(keys)) == "" })
 		}
 	}
 	for i, m := range all {
-		if n := m.held(); n == 0 || n == contexts {
+		if n := m.noteCount(); n == 0 || n == contexts {
 			t.Errorf("entry %d holds %d of %d contexts", i+1, n, contexts)
 		}
 	}
 }
 
-// TestDeadOwnerIsDoneWithout stops an entry: its part goes to the others, and until
-// then nobody waits for it.
-func TestDeadOwnerIsDoneWithout(t *testing.T) {
+// TestPartitionsOfStoppedOwnerMove stops an entry. The remaining entry must take over its part
+// of the directory, and until then get empty hints for it.
+func TestPartitionsOfStoppedOwnerMove(t *testing.T) {
 	first := start(t, "e1", "d1")
 	second := start(t, "e2", "d1", first.Listener.Addr().String())
-	eventually(t, "both know both", func() bool { return first.LiveInRegion() == 2 && second.LiveInRegion() == 2 })
+	eventually(t, "the entries know each other", func() bool { return first.LiveInRegion() == 2 && second.LiveInRegion() == 2 })
 	second.stop()
 	for i := range 30 {
 		keys := []prefix.Key{{byte(i), 9}}
-		if h := first.lookUp(keys); len(h.Cached) != 0 {
-			t.Fatalf("hints from nowhere: %+v", h)
+		if h := first.hintsFor(keys); len(h.Cached) != 0 {
+			t.Fatalf("got hints that were never noted: %+v", h)
 		}
 		first.NotifyOwner(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u1"})
 	}
-	eventually(t, "the dead entry is no longer counted", func() bool { return first.LiveInRegion() == 1 })
+	eventually(t, "the stopped entry is no longer live", func() bool { return first.LiveInRegion() == 1 })
 	keys := []prefix.Key{{99, 9}}
 	first.NotifyOwner(keys, placement.Note{Key: keys[0], Blocks: 1, Upstream: "u1"})
-	if h := first.lookUp(keys); len(h.Cached) != 1 {
-		t.Fatal("the remaining entry does not own what is left")
+	if h := first.hintsFor(keys); len(h.Cached) != 1 {
+		t.Fatal("the remaining entry does not own the whole directory")
 	}
 }
 
-// TestRelayPassesOn checks that a domain agrees on one relay, and finds another
-// when it leaves.
-func TestRelayPassesOn(t *testing.T) {
+// TestRelayMovesWhenEntryLeaves checks that the entries of a failure domain agree on one relay,
+// and on another one when it leaves.
+func TestRelayMovesWhenEntryLeaves(t *testing.T) {
 	first := start(t, "e1", "d1")
 	seed := first.Listener.Addr().String()
 	second, far := start(t, "e2", "d1", seed), start(t, "e3", "d2", seed)
@@ -181,24 +181,24 @@
 		return other && address == seed && !own && !farOther && far.LiveInRegion() == 3
 	})
 	first.Leave()
-	eventually(t, "the next one relays", func() bool {
+	eventually(t, "the remaining entry is the relay", func() bool {
 		_, other := second.Relay()
 		return !other
 	})
 }
 
-// TestOneLenderForEachTeam has every entry borrow for every team: all must borrow from
-// the same one, or a team's rate would be lent more than once.
+// TestOneLenderForEachTeam makes every entry borrow for every team. All must borrow from the
+// same entry, or a team's rate would be lent more than once.
 func TestOneLenderForEachTeam(t *testing.T) {
 	all := startThree(t)
 	lenders := map[int]bool{}
 	for n := range 20 {
 		team := fmt.Sprint("team-", n)
 		for _, m := range all {
-			eventually(t, "the owner lends", func() bool {
+			eventually(t, "the owner lends tokens", func() bool {
 				loan, own, err := m.Borrow(context.Background(), team, 5)
 				if own {
-					loan = m.lend(team, 5)
+					loan = m.grantLoan(team, 5)
 				}
 				return err == nil && loan.Tokens == 5
 			})
@@ -213,10 +213,10 @@
 			m.mu.Unlock()
 		}
 		if lent != 1 {
-			t.Fatalf("%d entries lent for %s", lent, team)
+			t.Fatalf("%d entries lent for %s, want 1", lent, team)
 		}
 	}
 	if len(lenders) == 1 {
-		t.Fatal("one entry lends for all teams")
+		t.Fatal("one entry owns the limits of all teams")
 	}
 }
--- a/internal/transport/peers/service.go
+++ b/internal/transport/peers/service.go
@@ -10,13 +10,13 @@
 	"github.com/shedrock/shedrock/internal/protocol/wire"
 )
 
-// service answers other entries.
+// service implements the calls of other entries.
 type service struct{ p *Peers }
 
-// Gossip takes what another entry knows, and answers with what it should know.
+// Gossip merges the state of another entry, and answers with the state that it lacks.
 func (s service) Gossip(_ context.Context, in *wire.GossipMessage) (*wire.GossipMessage, error) {
-	answer := wire.FromGossip(s.p.hear(in))
-	s.p.answerFacts(in, answer)
+	answer := wire.FromGossip(s.p.receive(in))
+	s.p.replyWithFacts(in, answer)
 	return answer, nil
 }
 
@@ -29,8 +29,9 @@
 	return wire.FromHints(s.p.LookUpHints(keys)), nil
 }
 
-// Note takes notes into this entry's part of the directory. Two entries may both
-// believe that they own a part; then each holds hints, and none of them is wrong.
+// Note stores notes in this entry's part of the directory. While views of the membership
+// differ, two entries may both own a part; each then holds some of the hints, all of them
+// valid.
 func (s service) Note(_ context.Context, in *wire.NoteRequest) (*wire.NoteResponse, error) {
 	var notes []placement.Note
 	for _, m := range in.Notes {
@@ -44,8 +45,8 @@
 	return &wire.NoteResponse{}, nil
 }
 
-// Lend lends tokens of a team's limit. An entry that is not the owner lends too, if it is
-// asked: whoever asks believes that it is.
+// Lend lends tokens of a team's limit. It does not check that this entry is the owner: in the
+// caller's view of the membership it is.
 func (s service) Lend(_ context.Context, in *wire.LendRequest) (*wire.LendResponse, error) {
 	if !(in.Cost > 0) {
 		return nil, twirp.InvalidArgumentError("cost", "a number above 0 is needed")
