--- a/internal/state/deployment/check.go
+++ b/internal/state/deployment/check.go
@@ -7,25 +7,24 @@
 	"strings"
 )
 
-// FieldError says which field of a configuration is wrong, and why.
+// FieldError is the error for an invalid field of a configuration.
 type FieldError struct {
-	// Field is the place, such as "routes[3].timeout".
+	// Field is the path of the field, such as "routes[3].timeout".
 	Field  string
 	Reason string
 }
 
-// Error names the field and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-func fault(field, format string, args ...any) error {
+func newFieldError(field, format string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Check returns the first fault of a configuration as a *FieldError, and prepares the
-// lookups. It must be called once, before the configuration is shared.
+// Check validates a configuration and builds its lookup tables. It returns the first error, which is a
+// *FieldError. It must be called once, before the configuration is shared.
 func (c *Config) Check() error {
-	c.noteRanks()
-	c.noteStores()
+	c.collectRanks()
+	c.indexStores()
 	err := c.checkRoutes()
 	if err != nil {
 		return err
@@ -33,7 +32,7 @@
 	return c.checkTeams()
 }
 
-func (c *Config) noteStores() {
+func (c *Config) indexStores() {
 	c.stores = map[string]Store{}
 	for _, s := range c.Services {
 		if s.Store != nil {
@@ -51,11 +50,11 @@
 		if err != nil {
 			return err
 		}
-		place := [2]string{r.Host, r.Prefix}
-		if seen[place] {
-			return fault(field+".prefix", "host %q and prefix %q stand in an earlier route as well", r.Host, r.Prefix)
+		match := [2]string{r.Host, r.Prefix}
+		if seen[match] {
+			return newFieldError(field+".prefix", "host %q and prefix %q stand in an earlier route as well", r.Host, r.Prefix)
 		}
-		seen[place] = true
+		seen[match] = true
 		c.routes[r.Host] = append(c.routes[r.Host], r)
 	}
 	for _, routes := range c.routes {
@@ -67,51 +66,51 @@
 func (c *Config) checkRoute(field string, r Route) error {
 	switch {
 	case r.Host == "":
-		return fault(field+".host", "is missing")
+		return newFieldError(field+".host", "is missing")
 	case !strings.HasPrefix(r.Prefix, "/"):
-		return fault(field+".prefix", "%q does not begin with a slash", r.Prefix)
+		return newFieldError(field+".prefix", "%q does not begin with a slash", r.Prefix)
 	case r.Kind == 0:
-		return fault(field+".kind", "is missing or unknown")
+		return newFieldError(field+".kind", "is missing or unknown")
 	case r.Timeout <= 0:
-		return fault(field+".timeout", "must be above 0")
+		return newFieldError(field+".timeout", "must be above 0")
 	case len(r.Targets) == 0:
-		return fault(field+".targets", "names no service")
+		return newFieldError(field+".targets", "names no service")
 	}
 	sum := 0.0
 	for _, t := range r.Targets {
 		service, ok := c.Services[t.Service]
 		if !ok || service.Store != nil {
-			return fault(field+".targets", "there is no service %q", t.Service)
+			return newFieldError(field+".targets", "there is no service %q", t.Service)
 		}
 		if t.Weight < 0 {
-			return fault(field+".targets", "the weight of %q is below 0", t.Service)
+			return newFieldError(field+".targets", "the weight of %q is below 0", t.Service)
 		}
 		sum += t.Weight
 	}
 	if sum <= 0 {
-		return fault(field+".targets", "the weights sum to 0")
+		return newFieldError(field+".targets", "the weights sum to 0")
 	}
 	return nil
 }
 
 func (c *Config) checkTeams() error {
-	c.teams = map[string]int{}
+	c.teamIndexes = map[string]int{}
 	for i, t := range c.Teams {
 		field := fmt.Sprintf("teams[%d]", i)
 		if t.Name == "" {
-			return fault(field+".name", "is missing")
+			return newFieldError(field+".name", "is missing")
 		}
 		for _, key := range t.Keys {
-			if other, ok := c.teams[key]; ok && other != i {
-				return fault(field+".keys", "a key belongs to team %q as well", c.Teams[other].Name)
+			if other, ok := c.teamIndexes[key]; ok && other != i {
+				return newFieldError(field+".keys", "a key belongs to team %q as well", c.Teams[other].Name)
 			}
-			c.teams[key] = i
+			c.teamIndexes[key] = i
 		}
 	}
 	return nil
 }
 
-// Route returns the route of a host and path: the one whose prefix is longest.
+// Route returns the route of a host and path, which is the one with the longest matching prefix.
 func (c *Config) Route(host, path string) (Route, bool) {
 	for _, r := range c.routes[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -121,28 +120,29 @@
 	return Route{}, false
 }
 
-// HasTeams reports whether callers need a key.
+// HasTeams reports whether there are teams, in which case callers need a key.
 func (c *Config) HasTeams() bool { return len(c.Teams) > 0 }
 
-// TeamByKey returns the team to which a key belongs.
+// TeamByKey returns the team that a key belongs to.
 func (c *Config) TeamByKey(key string) (Team, bool) {
-	i, ok := c.teams[key]
+	i, ok := c.teamIndexes[key]
 	if !ok || key == "" {
 		return Team{}, false
 	}
 	return c.Teams[i], true
 }
 
-// Service returns the service that takes a request; draw is even in [0,1).
+// Service returns the service for a request, chosen by the weights of the targets. draw is a uniformly
+// distributed random number in [0,1).
 func (r Route) Service(draw float64) string {
 	sum := 0.0
 	for _, t := range r.Targets {
 		sum += t.Weight
 	}
-	at := draw * sum
+	point := draw * sum
 	for _, t := range r.Targets {
-		at -= t.Weight
-		if at < 0 {
+		point -= t.Weight
+		if point < 0 {
 			return t.Service
 		}
 	}
--- a/internal/state/deployment/deployment.go
+++ b/internal/state/deployment/deployment.go
@@ -1,13 +1,13 @@
-// Package deployment holds one whole configuration of a deployment whose upstreams
-// register themselves: routes, services, teams and limits under one rising version.
+// Package deployment holds the configuration of a deployment whose upstreams
+// register themselves: routes, services, teams and limits under one increasing version.
 //
-// A Config never changes after Check; whoever serves swaps it whole, so no request
-// sees half of one version and half of another.
+// A Config is immutable after Check. A serving process replaces it as a whole, so no request
+// sees a mix of two versions.
 package deployment
 
 import "time"
 
-// Kind says how often a request on a route may run.
+// Kind determines how often a request on a route may run, and how it is answered.
 type Kind int
 
 // The kinds of route.
@@ -16,11 +16,11 @@
 	Repeatable Kind = iota + 1
 	// Once requests run at most once.
 	Once
-	// Stream requests are answered by a series of numbered events.
+	// Stream requests are answered by a stream of numbered events.
 	Stream
 )
 
-// String returns the kind's name in logs and metrics.
+// String returns the name of the kind in logs and metrics.
 func (k Kind) String() string {
 	switch k {
 	case Repeatable:
@@ -35,7 +35,7 @@
 
 // Config is one version of the configuration.
 type Config struct {
-	// Version orders configurations; the highest one holds.
+	// Version orders configurations; the one with the highest version is in force.
 	Version uint64
 	Routes  []Route
 	// Services are by name.
@@ -45,93 +45,93 @@
 
 	// routes holds the routes of each host, the longest prefix first.
 	routes map[string][]Route
-	// teamRanks and routeRanks hold the ranks in use, in order.
+	// teamRanks and routeRanks hold the distinct ranks in use, in ascending order.
 	teamRanks, routeRanks []int
-	// teams holds the index of the team of each key.
-	teams map[string]int
+	// teamIndexes maps each key to the index of its team in Teams.
+	teamIndexes map[string]int
 	// stores are by address.
 	stores map[string]Store
 }
 
-// Stores returns the stores by their addresses; the map must not be changed.
+// Stores returns the stores by their addresses. The caller must not modify the map.
 func (c *Config) Stores() map[string]Store { return c.stores }
 
-// Route says where requests to a host and path prefix run.
+// Route defines how requests to a host and path prefix are served.
 type Route struct {
 	Name, Host, Prefix string
 	Kind               Kind
-	// Timeout is the longest time that a request may be held.
+	// Timeout is the maximum time that a request may take.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or its first event, is in time.
+	// Objective is the latency objective for an answer, or for its first event.
 	Objective time.Duration
-	// GapObjective is the longest time between two events of an answer that is in time.
+	// GapObjective is the latency objective for the time between two events of an answer.
 	GapObjective time.Duration
 	// Rank is 0 for the most urgent requests.
 	Rank int
 	// Targets has at least one entry with a weight above 0.
 	Targets []Target
-	// Attempts is the largest number of instances to which one request is sent.
+	// Attempts is the maximum number of instances to which one request is sent.
 	Attempts int
-	// Public routes take requests without a key.
+	// Public routes accept requests without a key.
 	Public bool
-	// Resumable streams may go on at another instance behind the last event.
+	// Resumable streams may continue at another instance after the last event.
 	Resumable bool
 }
 
 // AllowsRetries reports whether a request on the route may run more than once.
 func (r Route) AllowsRetries() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that receives a share of a route's requests, proportional to Weight.
 type Target struct {
 	Service string
 	Weight  float64
 }
 
-// Service is a group of alike instances, or a store.
+// Service is a group of identical instances, or a store.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections bounds the connections to one instance, from all entries together.
+	// MaxConnections is the maximum number of connections to one instance from all entries together.
 	MaxConnections int
-	// ColdRate is how many requests a second one instance bears, from all entries together, while
-	// it is cold; 0 is without a bound.
+	// ColdRate is the maximum rate of requests to one instance while it is cold, in requests per second
+	// from all entries together; 0 means no limit.
 	ColdRate float64
-	// ColdFor is for how long an instance is cold after its start.
+	// ColdFor is how long an instance is cold after its start.
 	ColdFor time.Duration
 	// Engine is set for services that run models.
 	Engine *Engine
-	// Store is set for stores of kept context.
+	// Store is set for stores of cached context.
 	Store *Store
 }
 
 // Engine describes the instances of a service that run models.
 type Engine struct {
 	Slots int
-	// MemoryTokens is shared by running requests and kept context.
+	// MemoryTokens is the memory in tokens, shared by running requests and cached context.
 	MemoryTokens int
 	TokenBytes   int
 	Models       []string
 }
 
-// Store is a store of kept context, which drops nothing by itself.
+// Store is a store of cached context. It does not evict anything by itself.
 type Store struct {
 	Address, FailureDomain string
 	MemoryTokens           int
-	// LinkRate is the speed of its link in megabits a second, or 0 when it is not told.
+	// LinkRate is the bandwidth of its link in megabits per second, or 0 if it is not specified.
 	LinkRate float64
 }
 
-// Team is a group of callers with keys of its own.
+// Team is a group of callers with its own keys.
 type Team struct {
 	Name string
 	Keys []string
-	// Rank, when set, goes before the route's.
+	// Rank, if set, takes precedence over the route's rank.
 	Rank *int
-	// Isolated teams share no kept context with others.
+	// Isolated teams do not share cached context with other teams.
 	Isolated bool
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on a caller's requests.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
--- a/internal/state/deployment/deployment_test.go
+++ b/internal/state/deployment/deployment_test.go
@@ -25,16 +25,16 @@
 	}
 }
 
-func TestCheckNamesTheFault(t *testing.T) {
+func TestCheckReportsInvalidField(t *testing.T) {
 	cases := []struct {
-		name  string
-		spoil func(*deployment.Config)
-		want  string
+		name   string
+		change func(*deployment.Config)
+		want   string
 	}{
-		{"nothing wrong", func(*deployment.Config) {}, ""},
+		{"valid", func(*deployment.Config) {}, ""},
 		{"unknown service", func(c *deployment.Config) { c.Routes[1].Targets[0].Service = "x" }, `routes[1].targets: there is no service "x"`},
 		{"a store", func(c *deployment.Config) { c.Routes[1].Targets[0].Service = "store" }, `routes[1].targets: there is no service "store"`},
-		{"same place", func(c *deployment.Config) { c.Routes[1].Prefix = "/" }, `routes[1].prefix: host "h" and prefix "/" stand in an earlier route as well`},
+		{"same host and prefix", func(c *deployment.Config) { c.Routes[1].Prefix = "/" }, `routes[1].prefix: host "h" and prefix "/" stand in an earlier route as well`},
 		{"no weight", func(c *deployment.Config) { c.Routes[0].Targets[0].Weight = 0 }, "routes[0].targets: the weights sum to 0"},
 		{"no timeout", func(c *deployment.Config) { c.Routes[0].Timeout = 0 }, "routes[0].timeout: must be above 0"},
 		{"a key of two teams", func(c *deployment.Config) { c.Teams[1].Keys = []string{"ka"} }, `teams[1].keys: a key belongs to team "a" as well`},
@@ -42,13 +42,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			in := config(route("all", "/"), route("deep", "/a/"))
-			c.spoil(in)
+			c.change(in)
 			got := ""
 			err := in.Check()
 			if err != nil {
 				var field *deployment.FieldError
 				if !errors.As(err, &field) {
-					t.Fatalf("%T is no field error", err)
+					t.Fatalf("%T is not a field error", err)
 				}
 				got = err.Error()
 			}
@@ -93,7 +93,7 @@
 	}
 }
 
-// A team's rank goes before the route's, and the route's decides among equal teams.
+// A team's rank takes precedence over the route's, which decides among teams of equal rank.
 func TestUrgency(t *testing.T) {
 	rank := func(n int) *int { return &n }
 	c := config(route("short", "/s/"), route("long", "/l/"))
@@ -115,7 +115,7 @@
 	}
 }
 
-// However many ranks there are, engines get ten at most, in order.
+// Any number of ranks is mapped to at most ten urgency levels, in order.
 func TestUrgencyOfManyRanks(t *testing.T) {
 	c := config()
 	for i := range 6 {
@@ -134,11 +134,11 @@
 	last := 0
 	for _, team := range c.Teams {
 		for _, r := range c.Routes {
-			at := c.Urgency(team, r)
-			if at < last || at > deployment.LeastUrgent {
-				t.Fatalf("%s %s is at %d after %d", team.Name, r.Name, at, last)
+			urgency := c.Urgency(team, r)
+			if urgency < last || urgency > deployment.LeastUrgent {
+				t.Fatalf("%s %s has urgency %d after %d", team.Name, r.Name, urgency, last)
 			}
-			last = at
+			last = urgency
 		}
 	}
 	if diff := cmp.Diff(deployment.LeastUrgent, last); diff != "" {
--- a/internal/state/deployment/urgency.go
+++ b/internal/state/deployment/urgency.go
@@ -2,29 +2,29 @@
 
 import "slices"
 
-// LeastUrgent is the last urgency that engines know; 0 is the first.
+// LeastUrgent is the least urgent level that engines support; 0 is the most urgent.
 const LeastUrgent = 9
 
-// Urgency returns the place of a request in an engine's queue, from 0 to LeastUrgent: by
-// the rank of its team, and among requests of equal teams by the rank of its route. Routes
-// of short and pressing requests have the lower ranks, and wait behind long ones otherwise.
+// Urgency returns the urgency of a request in an engine's queue, from 0 to LeastUrgent. It is ordered
+// by the rank of the team, and for equal ranks by the rank of the route. Routes of short, urgent
+// requests have lower ranks; otherwise these would wait behind long requests.
 func (c *Config) Urgency(team Team, route Route) int {
 	teams := len(c.teamRanks)
 	routes := len(c.routeRanks)
-	at := slices.Index(c.routeRanks, route.Rank)
-	// A team without a rank of its own goes by the route's alone, as the first one would.
+	level := slices.Index(c.routeRanks, route.Rank)
+	// A team without a rank is treated like one with the most urgent rank, so that only the route's rank counts.
 	if team.Rank != nil {
-		at += slices.Index(c.teamRanks, *team.Rank) * routes
+		level += slices.Index(c.teamRanks, *team.Rank) * routes
 	}
-	places := max(teams, 1) * routes
-	if places <= LeastUrgent+1 {
-		return max(at, 0)
+	levels := max(teams, 1) * routes
+	if levels <= LeastUrgent+1 {
+		return max(level, 0)
 	}
-	return max(at, 0) * (LeastUrgent + 1) / places
+	return max(level, 0) * (LeastUrgent + 1) / levels
 }
 
-// noteRanks lists the ranks in use, each once, the most urgent first.
-func (c *Config) noteRanks() {
+// collectRanks sets the distinct ranks in use, the most urgent first.
+func (c *Config) collectRanks() {
 	c.teamRanks, c.routeRanks = nil, nil
 	for _, t := range c.Teams {
 		if t.Rank != nil {
