--- a/internal/transport/fleet/catch_up_fixture_test.go
+++ b/internal/transport/fleet/catch_up_fixture_test.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// fleetSize is how many instances a large deployment runs, each of them known to every
-	// control instance.
+	// fleetSize is the number of instances in a large deployment. Each control instance knows all
+	// of them.
 	fleetSize = 3100
-	// storeCount and partsSize are its stores and the parts that they keep in all: 60,000
-	// parts take 4 MB, more than a link of 10 Mbit/s carries in the 2 s of a poll.
+	// storeCount is the number of stores in it, and partsSize the number of parts that they hold in
+	// all: 60,000 parts take 4 MB, more than a link of 10 Mbit/s carries in the 2 s of a poll.
 	storeCount, partsSize = 10, 60_000
-	// reportBytes and partBytes are what one instance and one part take in an answer.
+	// reportBytes and partBytes are the sizes of one instance and one part in an answer.
 	reportBytes, partBytes = 190, 75
 )
 
-// fleetInstance is an instance as long as those of a real deployment.
+// fleetInstance returns an instance with names as long as those of a real deployment.
 func fleetInstance(i int) registry.Instance {
 	return registry.Instance{
 		ID: fmt.Sprintf("engine-%05d-7f3a9c52d1e84b06", i), Service: "s", Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
@@ -30,20 +30,21 @@
 	}
 }
 
-// startFleet starts control instances that have all heard of instances, which stay although
-// they report only once.
-func startFleet(t *testing.T, n int) []*control {
+// startControlsWithInstances starts control instances that have all received a heartbeat of n
+// instances. Their heartbeat interval is so long that no instance becomes silent.
+func startControlsWithInstances(t *testing.T, n int) []*controlServer {
 	t.Helper()
-	controls := startControls(t, controlSeen)
+	controls := startControls(t, observedControls)
 	for _, c := range controls {
-		c.source.Store(fleet.NewSource(t.Context(), time.Hour, quiet))
+		c.source.Store(fleet.NewSource(t.Context(), time.Hour, discardLogger))
 	}
-	hearFleet(controls, n)
+	recordInstances(controls, n)
 	return controls
 }
 
-// hearFleet lets some control instances hear of instances, each in the same order.
-func hearFleet(controls []*control, n int) {
+// recordInstances records heartbeats of instances at some control instances, in the same order at
+// each.
+func recordInstances(controls []*controlServer, n int) {
 	for _, c := range controls {
 		for i := range n {
 			c.source.Load().RecordHeartbeat(fleetInstance(i))
@@ -51,7 +52,7 @@
 	}
 }
 
-// partsOf are the parts of one store, with ids as long as a digest.
+// partsOf returns the parts of one store, with ids as long as a digest.
 func partsOf(store, n int) map[keeping.Part]int {
 	out := make(map[keeping.Part]int, n)
 	for i := range n {
@@ -62,24 +63,24 @@
 
 func storeAddress(store int) string { return fmt.Sprintf("10.200.0.%d:9000", store) }
 
-// publishStores lets a control instance, as the leader does, tell what stores keep.
-func publishStores(c *control, until time.Duration, parts int) {
+// publishStores publishes the contents of all stores at a control instance, as the leader does.
+func publishStores(c *controlServer, until time.Duration, parts int) {
 	for s := range storeCount {
 		c.source.Load().PublishStore(storeAddress(s), keeping.StoreContents{Until: until, FreeTokens: 100, Parts: partsOf(s, parts/storeCount)})
 	}
 }
 
-func partsKnown(f *fleet.Follower) int {
+func countParts(f *fleet.Follower) int {
 	n := 0
-	for _, kept := range f.View().Stores {
-		n += len(kept.Parts)
+	for _, contents := range f.View().Stores {
+		n += len(contents.Parts)
 	}
 	return n
 }
 
-// knownWithin is how long so many bytes may take over an entry's link: twice what it
-// takes alone, and some seconds for a busy machine. Under the race detector it is processor
-// time that passes, so the tests are run without it as well.
-func knownWithin(bytes int) time.Duration {
+// transferTimeout is the time limit for a transfer over an entry's link: twice what the transfer
+// takes alone, plus some seconds for a busy machine. Under the race detector it is CPU time that
+// dominates, so the tests are run without it as well.
+func transferTimeout(bytes int) time.Duration {
 	return slowdown * (5*time.Second + 2*time.Duration(bytes/linkRate)*time.Second)
 }
--- a/internal/transport/fleet/catch_up_test.go
+++ b/internal/transport/fleet/catch_up_test.go
@@ -26,44 +26,44 @@
 	"github.com/shedrock/shedrock/internal/transport/fleet"
 )
 
-// An entry that starts knows all instances soon however many there are, also when every
-// control instance tells them over the same slow link, and when others start with it.
+// An entry that starts must know all instances soon, no matter how many there are, even if all
+// control instances send them over the same slow link and other entries start with it.
 func TestLargeFleetIsKnownOverASlowLink(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct{ times, entries int }{{1, 1}, {1, 8}, {2, 4}, {10, 1}} {
 		t.Run(fmt.Sprintf("%d instances, %d entries", test.times*fleetSize, test.entries), func(t *testing.T) {
 			t.Parallel()
 			n := test.times * fleetSize
-			controls := startFleet(t, n)
+			controls := startControlsWithInstances(t, n)
 			began := time.Now()
 			followers := startEntries(t, test.entries, controls)
 			for _, f := range followers {
-				await.Until(t, knownWithin(n*controlSeen*reportBytes), "all instances are known", func() bool { return len(live(f)) == n })
+				await.Until(t, transferTimeout(n*observedControls*reportBytes), "all instances are known", func() bool { return len(liveIDs(f)) == n })
 			}
-			t.Logf("known after %s", time.Since(began))
+			t.Logf("all instances known after %s", time.Since(began))
 		})
 	}
 }
 
-// An entry that starts knows the instances, and then all parts of all stores, however many
-// parts there are.
+// An entry that starts must know the instances first, and then all parts of all stores, no matter
+// how many parts there are.
 func TestManyPartsAreKnownOverASlowLink(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct{ times, entries int }{{1, 1}, {1, 4}, {2, 2}, {10, 1}} {
 		t.Run(fmt.Sprintf("%d parts, %d entries", test.times*partsSize, test.entries), func(t *testing.T) {
 			t.Parallel()
-			controls := startFleet(t, fleetSize)
+			controls := startControlsWithInstances(t, fleetSize)
 			n := test.times * partsSize
 			publishStores(controls[0], time.Minute, n)
 			began := time.Now()
 			followers := startEntries(t, test.entries, controls)
-			instances := fleetSize * controlSeen * reportBytes
+			instances := fleetSize * observedControls * reportBytes
 			for _, f := range followers {
-				await.Until(t, knownWithin(instances), "all instances are known", func() bool { return len(live(f)) == fleetSize })
+				await.Until(t, transferTimeout(instances), "all instances are known", func() bool { return len(liveIDs(f)) == fleetSize })
 			}
 			t.Logf("instances known after %s", time.Since(began))
 			for _, f := range followers {
-				await.Until(t, knownWithin(instances+2*n*partBytes), "all parts are known", func() bool { return partsKnown(f) == n })
+				await.Until(t, transferTimeout(instances+2*n*partBytes), "all parts are known", func() bool { return countParts(f) == n })
 				for s := range storeCount {
 					want, got := partsOf(s, n/storeCount), f.View().Stores[storeAddress(s)].Parts
 					if !maps.Equal(want, got) {
@@ -76,13 +76,13 @@
 	}
 }
 
-// lines counts the lines of each event that a follower logs.
-type lines struct {
+// eventCounts counts the lines that a follower logs, by event.
+type eventCounts struct {
 	mu     sync.Mutex
 	events map[string]int
 }
 
-func (l *lines) Write(line []byte) (int, error) {
+func (l *eventCounts) Write(line []byte) (int, error) {
 	var in struct{ Event string }
 	err := json.Unmarshal(line, &in)
 	l.mu.Lock()
@@ -94,16 +94,16 @@
 	return len(line), err
 }
 
-func (l *lines) of(event string) int {
+func (l *eventCounts) count(event string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.events[event]
 }
 
-// followLogged starts an entry that follows some addresses.
-func followLogged(t *testing.T, addresses ...string) (*fleet.Follower, *lines) {
+// followLogged starts an entry that follows the sources at the given addresses.
+func followLogged(t *testing.T, addresses ...string) (*fleet.Follower, *eventCounts) {
 	t.Helper()
-	logged := &lines{}
+	logged := &eventCounts{}
 	f := &fleet.Follower{
 		Name: "e", Entry: true, Heartbeat: heartbeat, Log: &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: logged}},
 		Seeds: func() []string { return addresses }, Decode: decodeRoutes,
@@ -115,9 +115,9 @@
 	return f, logged
 }
 
-// serve returns the address of a source; before is called with the number of each poll, from
-// 1, and reports whether to answer it.
-func serve(t *testing.T, source *fleet.Source, before func(poll int64) bool) string {
+// serveSource serves a source and returns its address. before is called with the number of each
+// poll, from 1, and reports whether to answer it.
+func serveSource(t *testing.T, source *fleet.Source, before func(poll int64) bool) string {
 	t.Helper()
 	var polls atomic.Int64
 	handler := wire.NewFleetServer(source)
@@ -132,59 +132,59 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// An entry that still learns of many instances hears at once of one that leaves.
-func TestLeavingIsToldBeforeABacklog(t *testing.T) {
+// An entry that is still catching up on many instances must learn at once that one of them leaves.
+func TestDepartureIsSentBeforeBacklog(t *testing.T) {
 	const n = 4 * fleetSize
-	controls := startFleet(t, n)
+	controls := startControlsWithInstances(t, n)
 	f, _ := followLogged(t, slowLink(t, controls)...)
-	wait(t, "some are known", func() bool { return len(live(f)) > 0 })
+	waitFor(t, "some instances are known", func() bool { return len(liveIDs(f)) > 0 })
 	leaving := fleetInstance(n - 1)
-	if !slices.Contains(live(f), leaving.ID) {
-		t.Fatal("the newest is not known first")
+	if !slices.Contains(liveIDs(f), leaving.ID) {
+		t.Fatal("the newest instance was not sent first")
 	}
 	leaving.Leaving, leaving.Sequence = true, 2
 	controls[0].source.Load().RecordHeartbeat(leaving)
-	wait(t, "it is gone", func() bool { return !slices.Contains(live(f), leaving.ID) })
-	if got := len(live(f)); got >= n-1 {
-		t.Errorf("all %d others were told before", got)
+	waitFor(t, "the leaving instance is gone", func() bool { return !slices.Contains(liveIDs(f), leaving.ID) })
+	if got := len(liveIDs(f)); got >= n-1 {
+		t.Errorf("all %d other instances were sent before the departure", got)
 	}
 }
 
-// Control instances that all begin anew make nobody forget an instance before they have told
-// everything again; what they do not tell is gone then. One line says when that begins and one
-// when it ends.
+// When all control instances restart, no instance may disappear before they have sent all instances
+// again. Those not sent again must disappear then. One line is logged at the start and one at the
+// end of the catch-up.
 func TestRestartOfAllSourcesOfALargeFleet(t *testing.T) {
-	// n takes longer to tell than an instance that nobody vouches for is kept.
+	// Sending n instances takes longer than the grace period of instances that no source reports.
 	const n = 2 * fleetSize
-	controls := startFleet(t, n)
+	controls := startControlsWithInstances(t, n)
 	gone := instance("gone", 1)
 	controls[0].source.Load().RecordHeartbeat(gone)
 	f, logged := followLogged(t, slowLink(t, controls)...)
-	wait(t, "everything is told", func() bool { return logged.of("caught_up") == controlSeen })
-	if diff := cmp.Diff(n+1, len(live(f))); diff != "" {
+	waitFor(t, "all sources are caught up", func() bool { return logged.count("caught_up") == observedControls })
+	if diff := cmp.Diff(n+1, len(liveIDs(f))); diff != "" {
 		t.Error(diff)
 	}
-	next := startFleet(t, n)
+	next := startControlsWithInstances(t, n)
 	for i, c := range controls {
 		c.source.Store(next[i].source.Load())
 	}
-	wait(t, "everything is told again", func() bool {
-		if got := len(live(f)); got < n {
-			t.Fatalf("only %d are known", got)
+	waitFor(t, "all sources are caught up again", func() bool {
+		if got := len(liveIDs(f)); got < n {
+			t.Fatalf("only %d instances are known", got)
 		}
-		return logged.of("caught_up") == 2*controlSeen
+		return logged.count("caught_up") == 2*observedControls
 	})
-	wait(t, "what is not told again is gone", func() bool { return !slices.Contains(live(f), gone.ID) })
-	if diff := cmp.Diff(n, len(live(f))); diff != "" {
+	waitFor(t, "the instance that is not reported again is gone", func() bool { return !slices.Contains(liveIDs(f), gone.ID) })
+	if diff := cmp.Diff(n, len(liveIDs(f))); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(2*controlSeen, logged.of("catching_up")); diff != "" {
+	if diff := cmp.Diff(2*observedControls, logged.count("catching_up")); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// without returns parts but for each so many-th.
-func without(parts map[keeping.Part]int, nth int) map[keeping.Part]int {
+// removeEveryNth returns the parts without every nth one.
+func removeEveryNth(parts map[keeping.Part]int, nth int) map[keeping.Part]int {
 	out := maps.Clone(parts)
 	i := 0
 	for part := range parts {
@@ -195,53 +195,53 @@
 	return out
 }
 
-// changingStore is a store whose content changes while a follower learns of it.
+// changingStore is a store whose contents change while a follower is catching up on them.
 type changingStore struct {
 	source *fleet.Source
 	now    time.Duration
-	kept   map[keeping.Part]int
-	// last holds when each part was last kept.
-	last map[keeping.Part]time.Duration
+	parts  map[keeping.Part]int
+	// lastStored holds the time at which each part was last in the store.
+	lastStored map[keeping.Part]time.Duration
 }
 
 func (s *changingStore) publish(parts map[keeping.Part]int) {
 	s.now += time.Second
-	s.kept = parts
+	s.parts = parts
 	for part := range parts {
-		s.last[part] = s.now
+		s.lastStored[part] = s.now
 	}
 	s.source.PublishStore("store", keeping.StoreContents{Until: s.now, FreeTokens: 100, Parts: maps.Clone(parts)})
 }
 
-// Stores change while an entry learns of them in many answers: it never names a part for
-// longer than the store kept it, and knows all in the end.
-func TestStoresChangeWhileTheyAreTold(t *testing.T) {
+// When stores change while an entry catches up on them in many answers, the entry must never
+// announce a part for longer than the store kept it, and must know all parts in the end.
+func TestStoresChangeDuringCatchUp(t *testing.T) {
 	const n = 10_000
-	store := &changingStore{source: fleet.NewSource(t.Context(), time.Hour, quiet), last: map[keeping.Part]time.Duration{}}
+	store := &changingStore{source: fleet.NewSource(t.Context(), time.Hour, discardLogger), lastStored: map[keeping.Part]time.Duration{}}
 	store.publish(partsOf(1, n))
 	changes := map[int64]func(){
-		4: func() { store.publish(without(store.kept, 100)) },
-		5: func() { store.publish(without(store.kept, 2)) },
+		4: func() { store.publish(removeEveryNth(store.parts, 100)) },
+		5: func() { store.publish(removeEveryNth(store.parts, 2)) },
 		6: func() {
 			more := partsOf(2, 500)
-			maps.Copy(more, store.kept)
+			maps.Copy(more, store.parts)
 			store.publish(more)
 		},
 		20: func() { store.source.ForgetStore("store") },
 		21: func() { store.publish(partsOf(3, n)) },
-		23: func() { store.publish(without(store.kept, 3)) },
+		23: func() { store.publish(removeEveryNth(store.parts, 3)) },
 	}
 	var follower atomic.Pointer[fleet.Follower]
 	var mu sync.Mutex
 	changed := 0
-	address := serve(t, store.source, func(poll int64) bool {
+	address := serveSource(t, store.source, func(poll int64) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		if f := follower.Load(); f != nil {
 			seen := f.View().Stores["store"]
 			for part := range seen.Parts {
-				if seen.Until > store.last[part] {
-					t.Errorf("poll %d: %v is named until %s, and was kept until %s", poll, part, seen.Until, store.last[part])
+				if seen.Until > store.lastStored[part] {
+					t.Errorf("poll %d: %v is announced until %s, but was stored only until %s", poll, part, seen.Until, store.lastStored[part])
 					break
 				}
 			}
@@ -254,28 +254,29 @@
 	})
 	f, _ := followLogged(t, address)
 	follower.Store(f)
-	wait(t, "all is known in the end", func() bool {
+	waitFor(t, "the final contents are known", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		seen := f.View().Stores["store"]
-		return changed == len(changes) && seen.Until == store.now && cmp.Equal(store.kept, seen.Parts)
+		return changed == len(changes) && seen.Until == store.now && cmp.Equal(store.parts, seen.Parts)
 	})
 }
 
-// Each answer is bounded, however much a watcher lacks, and the next one goes on from there.
-// One that was away for so long that what is gone was forgotten is told everything anew.
+// The size of each answer must be limited, however much a poller lacks, and the next answer must
+// continue from there. A poller that was away for so long that tombstones have expired must receive
+// everything anew.
 func TestAnswersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// The time of a bubble is Go's.
+		// The clock of a synctest bubble is that of package time.
 		clocktest.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
-		source := fleet.NewSource(ctx, time.Hour, quiet)
+		source := fleet.NewSource(ctx, time.Hour, discardLogger)
 		const mostBytes = 80 << 10
-		// ask follows the marks of an answer until there is no more; it returns the last
-		// answer, the parts and instances that were told, and in which answer all before them
-		// was said not to hold any more.
+		// ask polls from the cursors of an answer until there is no more. It returns the last
+		// answer, the parts and instances received, and the numbers of the answers that said that
+		// they replace all earlier parts of the store.
 		ask := func(since *wire.FleetResponse) (out *wire.FleetResponse, parts map[keeping.Part]int, instances int, whole []int) {
 			parts = map[keeping.Part]int{}
 			out = since
@@ -291,7 +292,7 @@
 					t.Fatal(err)
 				}
 				if size := proto.Size(out); size > mostBytes {
-					t.Errorf("an answer takes %d bytes", size)
+					t.Errorf("an answer has %d bytes, more than the maximum", size)
 				}
 				instances += len(out.Instances)
 				for _, store := range out.Stores {
@@ -311,8 +312,8 @@
 			source.PublishStore("store", keeping.StoreContents{Until: time.Second, Parts: parts})
 		}
 		const n = 5000
-		kept := partsOf(1, n)
-		publish(kept)
+		stored := partsOf(1, n)
+		publish(stored)
 		for i := range fleetSize {
 			source.RecordHeartbeat(fleetInstance(i))
 		}
@@ -321,10 +322,10 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff([]int{fleetSize, n}, []int{len(unpaged.Instances), len(unpaged.Stores[0].Parts)}); diff != "" || unpaged.More {
-			t.Error("who can't ask for the rest: ", diff)
+			t.Error("unpaged poll: ", diff)
 		}
 		first, parts, instances, whole := ask(nil)
-		if diff := cmp.Diff(kept, parts); diff != "" {
+		if diff := cmp.Diff(stored, parts); diff != "" {
 			t.Error(diff)
 		}
 		if diff := cmp.Diff([]int{1}, whole); diff != "" {
@@ -333,21 +334,21 @@
 		if diff := cmp.Diff(fleetSize, instances); diff != "" {
 			t.Error(diff)
 		}
-		kept = without(kept, 4)
-		publish(kept)
+		stored = removeEveryNth(stored, 4)
+		publish(stored)
 		second, parts, _, whole := ask(first)
 		if diff := cmp.Diff(n/4, len(parts)); diff != "" || whole != nil {
-			t.Error("who knew of it: ", whole, diff)
+			t.Error("poller that knew the removed parts: ", whole, diff)
 		}
 		time.Sleep(time.Minute)
-		publish(kept)
+		publish(stored)
 		_, parts, _, _ = ask(second)
 		if diff := cmp.Diff(0, len(parts)); diff != "" {
-			t.Error("who was told: ", diff)
+			t.Error("poller that received the removals: ", diff)
 		}
 		_, parts, _, whole = ask(first)
-		if diff := cmp.Diff(kept, parts); diff != "" {
-			t.Error("who was away: ", diff)
+		if diff := cmp.Diff(stored, parts); diff != "" {
+			t.Error("poller with an expired cursor: ", diff)
 		}
 		if diff := cmp.Diff([]int{1}, whole); diff != "" {
 			t.Error(diff)
@@ -355,19 +356,19 @@
 	})
 }
 
-// A control instance that was out of reach for long tells again of the instances that it alone
-// hears.
-func TestSourceThatWasLostTellsAgain(t *testing.T) {
+// A control instance that was unreachable for long must send the instances that only it knows
+// again.
+func TestLostSourceIsResynced(t *testing.T) {
 	t.Parallel()
-	near, far := fleet.NewSource(t.Context(), time.Hour, quiet), fleet.NewSource(t.Context(), time.Hour, quiet)
+	near, far := fleet.NewSource(t.Context(), time.Hour, discardLogger), fleet.NewSource(t.Context(), time.Hour, discardLogger)
 	far.RecordHeartbeat(instance("x", 1))
 	var cut atomic.Bool
 	f, _ := followLogged(t,
-		serve(t, near, func(int64) bool { return true }),
-		serve(t, far, func(int64) bool { return !cut.Load() }))
-	wait(t, "x is known", func() bool { return len(live(f)) == 1 })
+		serveSource(t, near, func(int64) bool { return true }),
+		serveSource(t, far, func(int64) bool { return !cut.Load() }))
+	waitFor(t, "x is known", func() bool { return len(liveIDs(f)) == 1 })
 	cut.Store(true)
-	await.Until(t, 30*time.Second, "x is forgotten", func() bool { return len(live(f)) == 0 })
+	await.Until(t, 30*time.Second, "x is dropped", func() bool { return len(liveIDs(f)) == 0 })
 	cut.Store(false)
-	wait(t, "x is known again", func() bool { return len(live(f)) == 1 })
+	waitFor(t, "x is known again", func() bool { return len(liveIDs(f)) == 1 })
 }
--- a/internal/transport/fleet/configuration.go
+++ b/internal/transport/fleet/configuration.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	// pieceTimeout bounds one question to one source, so that another is asked well within the
-	// time that a change may take to be in force. It never has to be enough for a whole text:
-	// what is asked for at a time shrinks until it is enough, and what has come is kept. When
-	// the least is too much as well, the time grows up to slowTimeout, which with appliedWait is
-	// below pollTimeout, the bound of every call here; the largest piece fits into it at
-	// 330 kbit/s.
-	pieceTimeout = 400 * time.Millisecond
-	slowTimeout  = 4 * pieceTimeout
-	// mostPiecesBytes and leastPiecesBytes bound what is asked for at a time. The first takes
-	// 50 ms of a link of 10 Mbit/s, so that requests on the same link wait for less than that;
-	// the second is a piece of routes, packed.
-	mostPiecesBytes  = 64 << 10
-	leastPiecesBytes = 4 << 10
-	// namedBytes is for how many bytes asked for one piece is named, so that the answer is
-	// full: few pieces pack to less.
-	namedBytes = 512
-	// appliedWait is how long a source may take to apply a version that another one told of: a
-	// majority has it already, and the rest learns of it with the leader's next message.
-	appliedWait = 150 * time.Millisecond
-	// avoidFor is how long a source that did not help is asked after all others.
-	avoidFor = 2 * time.Second
+	// pieceTimeout limits one request to one source, so that another source is tried well within
+	// the time in which a change must be in force. It need not suffice for a whole text: the amount
+	// requested shrinks until it suffices, and pieces already received are kept. If the smallest
+	// amount is too much as well, the timeout grows up to maxPieceTimeout. Together with applyWait,
+	// that is below pollTimeout, which limits every call here, and it suffices for the largest
+	// piece at 330 kbit/s.
+	pieceTimeout    = 400 * time.Millisecond
+	maxPieceTimeout = 4 * pieceTimeout
+	// maxRequestBytes and minRequestBytes limit the amount requested at a time. The first takes 50
+	// ms on a link of 10 Mbit/s, so that requests on the same link are delayed by less than that;
+	// the second is a compressed piece of routes.
+	maxRequestBytes = 64 << 10
+	minRequestBytes = 4 << 10
+	// bytesPerPiece is the compressed size assumed per piece when choosing how many pieces to
+	// request, so that the answer is full: few pieces compress to less.
+	bytesPerPiece = 512
+	// applyWait is how long a source may take to apply a version that another source announced: a
+	// majority has it already, and the others learn of it with the leader's next message.
+	applyWait = 150 * time.Millisecond
+	// avoidDuration is how long a source is tried last after a request to it failed.
+	avoidDuration = 2 * time.Second
 )
 
-// newestVersion returns the newest version of the configuration that is known here, in
-// force or not; mu must be held.
+// newestVersion returns the newest known version of the configuration, in force or not; mu must be
+// held.
 func (f *Follower) newestVersion() uint64 {
 	newest := f.version()
 	for _, s := range f.sources {
-		newest = max(newest, s.version)
+		newest = max(newest, s.configVersion)
 	}
 	return newest
 }
@@ -57,22 +57,22 @@
 	return f.config.Version
 }
 
-// lags reports whether a newer configuration is known than the one in force, other than one
-// that does not decode; mu must be held.
-func (f *Follower) lags() bool {
+// configOutdated reports whether a newer configuration is known than the one in force, other than
+// one that fails to decode; mu must be held.
+func (f *Follower) configOutdated() bool {
 	return f.newestVersion() > max(f.version(), f.unreadable)
 }
 
-// wantConfig fetches a newer configuration that a source told of; mu must be held.
-func (f *Follower) wantConfig() {
-	if f.fetching || !f.lags() {
+// startFetch starts to fetch a newer configuration if a source announced one; mu must be held.
+func (f *Follower) startFetch() {
+	if f.fetching || !f.configOutdated() {
 		return
 	}
 	f.fetching = true
-	go f.fetchConfig(f.work)
+	go f.fetchConfig(f.runCtx)
 }
 
-// fetchConfig fetches until the newest known version is in force.
+// fetchConfig fetches configurations until the newest known version is in force.
 func (f *Follower) fetchConfig(ctx context.Context) {
 	assembly, err := chunks.NewAssembly(f.text)
 	if err != nil {
@@ -81,8 +81,8 @@
 		return
 	}
 	defer assembly.Close()
-	fetch := &configFetch{f: f, assembly: assembly, bytes: mostPiecesBytes, timeout: pieceTimeout, began: clock.Now()}
-	for ctx.Err() == nil && f.behind() {
+	fetch := &configFetch{f: f, assembly: assembly, bytes: maxRequestBytes, timeout: pieceTimeout, startedAt: clock.Now()}
+	for ctx.Err() == nil && f.continueFetch() {
 		if !fetch.step(ctx) {
 			pause(ctx, retryWait)
 		}
@@ -96,12 +96,12 @@
 	}
 }
 
-// behind reports whether a newer version than the one in force is known. Without one the fetch
-// has ended.
-func (f *Follower) behind() bool {
+// continueFetch reports whether a newer version than the one in force is known. Otherwise it marks
+// the fetch as ended.
+func (f *Follower) continueFetch() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fetching = f.lags()
+	f.fetching = f.configOutdated()
 	return f.fetching
 }
 
@@ -111,97 +111,97 @@
 	f.fetching = false
 }
 
-// configFetch is one process's way from the configuration in force to the newest.
+// configFetch is the state of a fetch that leads from the configuration in force to the newest.
 type configFetch struct {
 	f        *Follower
 	assembly *chunks.Assembly
-	// version is the one that is put together, 0 before a manifest has come.
+	// version is the version being assembled, or 0 before a manifest was received.
 	version uint64
-	// bytes is how much is asked for at a time, between leastPiecesBytes and mostPiecesBytes,
-	// and timeout how long an answer may take, between pieceTimeout and slowTimeout.
+	// bytes is the amount requested at a time, between minRequestBytes and maxRequestBytes, and
+	// timeout the time limit of a request, between pieceTimeout and maxPieceTimeout.
 	bytes   int
 	timeout time.Duration
-	// began is when this fetch, or the version after the last one in force, was begun.
-	began time.Time
+	// startedAt is when the fetch of the current version started.
+	startedAt time.Time
 }
 
-// step asks the sources in turn until one helps, and reports whether one did.
+// step tries the sources in order until a request succeeds, and reports whether one did.
 func (c *configFetch) step(ctx context.Context) bool {
-	wanted, addresses := c.f.inTurn()
+	wanted, addresses := c.f.fetchOrder()
 	for _, address := range addresses {
 		if ctx.Err() != nil {
 			return true
 		}
-		err := c.ask(ctx, address, wanted)
+		err := c.requestNext(ctx, address, wanted)
 		if err == nil {
 			return true
 		}
 		c.f.avoid(address)
 		c.f.Log.Info().Str("event", "configuration_not_fetched").Uint64("version", wanted).Str("from", address).Int("fetched_bytes", c.assembly.FetchedBytes()).Int("asked_bytes", c.bytes).Str("error", err.Error()).Msg("")
 	}
-	// No source gave anything: what the text consists of is asked anew, as whoever told it may
-	// be gone, and others may cut it otherwise.
+	// No source answered with anything useful. Request the manifest again, as the source that sent
+	// it may be gone, and others may split the text differently.
 	c.version = 0
 	return false
 }
 
-// inTurn returns the newest version that is known, and the sources in the order in which this
-// process asks them. Each process has an order of its own (rendezvous hashing), so that all
-// sources carry the same load when all processes ask at once; those that did not help lately,
-// and those out of reach, come last.
-func (f *Follower) inTurn() (wanted uint64, addresses []string) {
+// fetchOrder returns the newest known version, and the sources in the order in which this process
+// tries them. Each process has a different order (rendezvous hashing), so that the load is spread
+// over all sources when all processes fetch at once. Sources that failed lately or are unreachable
+// come last.
+func (f *Follower) fetchOrder() (wanted uint64, addresses []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := clock.Now()
 	rank := func(address string) int {
 		s := f.sources[address]
-		if s.reached && now.After(s.avoidUntil) {
+		if s.reachable && now.After(s.avoidUntil) {
 			return 0
 		}
 		return 1
 	}
 	for address, s := range f.sources {
-		if s.reached || s.version > f.version() {
+		if s.reachable || s.configVersion > f.version() {
 			addresses = append(addresses, address)
 		}
 	}
 	slices.SortFunc(addresses, func(a, b string) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(weight(f.Name, a), weight(f.Name, b)))
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(rendezvousWeight(f.Name, a), rendezvousWeight(f.Name, b)))
 	})
 	return f.newestVersion(), addresses
 }
 
-// weight orders sources for one process.
-func weight(name, address string) uint64 {
+// rendezvousWeight returns the weight by which one process sorts the sources.
+func rendezvousWeight(name, address string) uint64 {
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(address), xxhash.Sum64String(name)))
 }
 
-// avoid has a source asked last for a while.
+// avoid makes a source the last choice for avoidDuration.
 func (f *Follower) avoid(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.sources[address]; s != nil {
-		s.avoidUntil = clock.Now().Add(avoidFor)
+		s.avoidUntil = clock.Now().Add(avoidDuration)
 	}
 }
 
-// ask asks one source for what is needed next: a manifest, or pieces. An error says that the
-// source did not help.
-func (c *configFetch) ask(ctx context.Context, address string, wanted uint64) error {
-	in := &wire.ConfigurationRequest{Version: wanted, WaitMilliseconds: uint32(appliedWait.Milliseconds())}
+// requestNext requests the manifest or the next pieces from one source. It returns an error if the
+// answer was of no use.
+func (c *configFetch) requestNext(ctx context.Context, address string, wanted uint64) error {
+	in := &wire.ConfigurationRequest{Version: wanted, WaitMilliseconds: uint32(applyWait.Milliseconds())}
 	if c.version != 0 {
 		in.Version = c.version
 		in.MostBytes = uint32(c.bytes)
-		in.Pieces = fromIDs(c.assembly.Missing(c.bytes / namedBytes))
+		in.Pieces = fromIDs(c.assembly.Missing(c.bytes / bytesPerPiece))
 	}
-	told := c.f.toldBy(address)
+	announced := c.f.announcedVersion(address)
 	out, err := c.call(ctx, address, in)
 	if err != nil {
 		return err
 	}
-	c.f.noteVersion(address, told, out.Version)
+	c.f.setVersion(address, announced, out.Version)
 	if c.version == 0 {
-		err = c.begin(out)
+		err = c.applyManifest(out)
 		if err != nil {
 			return err
 		}
@@ -213,47 +213,47 @@
 		}
 	}
 	if len(in.Pieces) > 0 && len(out.Packed) == 0 {
-		return c.without(out.Version)
+		return c.handleMissingPieces(out.Version)
 	}
 	return c.finish(address)
 }
 
-// without follows an answer that held none of the pieces asked for. A source with a newer
-// version may not keep them any more: it is asked what that consists of, and what has come
-// counts for it too. One with an older version lags.
-func (c *configFetch) without(version uint64) error {
+// handleMissingPieces handles an answer without any of the requested pieces. A source with a newer
+// version may not keep the pieces any more: the manifest of that version is requested, and the
+// pieces already received count for it too. A source with an older version lags, which is an error.
+func (c *configFetch) handleMissingPieces(version uint64) error {
 	if version > c.version {
 		c.version = 0
 		return nil
 	}
-	return errors.Errorf("it has version %d only", version)
+	return errors.Errorf("source has only version %d", version)
 }
 
-// call makes one call, and adapts how much is asked for at a time to what the link carries.
+// call makes one call, and adapts the amount requested at a time to the capacity of the link.
 func (c *configFetch) call(ctx context.Context, address string, in *wire.ConfigurationRequest) (*wire.ConfigurationResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, appliedWait+c.timeout)
+	ctx, cancel := context.WithTimeout(ctx, applyWait+c.timeout)
 	defer cancel()
 	out, err := wire.NewFleetProtobufClient("http://"+address, c.f.client).ConfigurationPieces(ctx, in)
 	if err != nil {
-		if c.bytes == leastPiecesBytes {
-			c.timeout = min(2*c.timeout, slowTimeout)
+		if c.bytes == minRequestBytes {
+			c.timeout = min(2*c.timeout, maxPieceTimeout)
 		}
-		c.bytes = max(c.bytes/2, leastPiecesBytes)
-		return nil, errors.Wrap(err, "ask for the configuration")
+		c.bytes = max(c.bytes/2, minRequestBytes)
+		return nil, errors.Wrap(err, "request configuration")
 	}
-	c.bytes = min(2*c.bytes, mostPiecesBytes)
+	c.bytes = min(2*c.bytes, maxRequestBytes)
 	c.timeout = pieceTimeout
 	return out, nil
 }
 
-// begin takes a manifest.
-func (c *configFetch) begin(out *wire.ConfigurationResponse) error {
+// applyManifest starts the assembly of the version of a manifest.
+func (c *configFetch) applyManifest(out *wire.ConfigurationResponse) error {
 	refs, err := toRefs(out.Manifest)
 	if err != nil {
 		return err
 	}
-	if out.Version <= c.f.settled() {
-		return errors.Errorf("it has version %d only", out.Version)
+	if out.Version <= c.f.settledVersion() {
+		return errors.Errorf("source has only version %d", out.Version)
 	}
 	err = c.assembly.SetRefs(refs)
 	if err != nil {
@@ -263,40 +263,41 @@
 	return nil
 }
 
-// toldBy returns the newest version that a source told of.
-func (f *Follower) toldBy(address string) uint64 {
+// announcedVersion returns the newest version that a source announced.
+func (f *Follower) announcedVersion(address string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.sources[address]; s != nil {
-		return s.version
+		return s.configVersion
 	}
 	return 0
 }
 
-// noteVersion takes a source's own word on its version: one that restarted may have an older
-// one. What it told of while the answer was under way is newer than the answer, and stays;
-// told is what it had told before.
-func (f *Follower) noteVersion(address string, told, version uint64) {
+// setVersion sets the version that a source has according to its own answer: after a restart it may
+// be an older one. announced is the version known before the call; if the source has announced
+// another one since, that is newer than the answer and stays.
+func (f *Follower) setVersion(address string, announced, version uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s := f.sources[address]; s != nil && s.version == told {
-		s.version = version
+	if s := f.sources[address]; s != nil && s.configVersion == announced {
+		s.configVersion = version
 	}
 }
 
-// settled returns the newest version that needs no fetch: it is in force, or does not decode.
-func (f *Follower) settled() uint64 {
+// settledVersion returns the newest version that need not be fetched: it is in force, or failed to
+// decode.
+func (f *Follower) settledVersion() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return max(f.version(), f.unreadable)
 }
 
-// finish puts the text in force if it is whole.
+// finish puts the text in force if it is complete.
 func (c *configFetch) finish(address string) error {
 	text, ok := c.assembly.Text()
 	if !ok && len(c.assembly.Missing(1)) == 0 {
 		c.version = 0
-		return errors.New("its manifest does not fit the pieces")
+		return errors.New("manifest does not match the pieces")
 	}
 	if !ok {
 		return nil
@@ -304,7 +305,8 @@
 	version := c.version
 	c.version = 0
 	c.assembly.Prune()
-	// Decoding a long text takes a good part of a second, during which polls go on.
+	// Decoding a long text takes a good part of a second, during which polls must continue, so mu
+	// is not held.
 	config, err := c.f.Decode(text.Bytes())
 	c.f.mu.Lock()
 	defer c.f.mu.Unlock()
@@ -315,11 +317,11 @@
 	}
 	c.f.text = text
 	c.f.config = config
-	// Other services may be declared now.
-	c.f.joinInstances()
+	// The declared services may have changed.
+	c.f.rebuildInstances()
 	c.f.publish()
 	c.f.Log.Info().Str("event", "configuration_in_force").Uint64("version", config.Version).Str("from", address).Int("routes", len(config.Routes)).
-		Int("bytes", len(text.Bytes())).Int("pieces", text.ChunkCount()).Int("fetched_bytes", c.assembly.FetchedBytes()).Dur("took_ms", clock.Since(c.began)).Msg("")
-	c.began = clock.Now()
+		Int("bytes", len(text.Bytes())).Int("pieces", text.ChunkCount()).Int("fetched_bytes", c.assembly.FetchedBytes()).Dur("took_ms", clock.Since(c.startedAt)).Msg("")
+	c.startedAt = clock.Now()
 	return nil
 }
--- a/internal/transport/fleet/convert.go
+++ b/internal/transport/fleet/convert.go
@@ -22,21 +22,21 @@
 	}
 }
 
-// toReport reads a report that a source gave; from is its address.
+// toReport converts a report that was received from the source at the address from.
 func toReport(in *wire.InstanceReport, from string, now time.Time) registry.Report {
 	return registry.Report{
 		Instance: registry.Instance{
 			ID: in.Id, Start: registry.Start(in.Start), Service: in.Service, Address: in.Address, FailureDomain: in.FailureDomain, Slots: int(in.Slots),
 			Leaving: in.Leaving, Sequence: in.Sequence, Weights: toWeights(in.Weights),
 			ColdUntil:         coldUntil(in.ColdMilliseconds, now),
-			WeightsProvenance: registry.Provenance{At: before(now, in.WeightsAgeMilliseconds), Queried: in.WeightsAsked, Via: from},
+			WeightsProvenance: registry.Provenance{At: ago(now, in.WeightsAgeMilliseconds), Queried: in.WeightsAsked, Via: from},
 		},
-		Silent: in.Silent, Left: in.Left, FirstSeen: before(now, in.AgeMilliseconds),
+		Silent: in.Silent, Left: in.Left, FirstSeen: ago(now, in.AgeMilliseconds),
 	}
 }
 
-// coldUntil returns until when an instance is cold, which is no time at all for one that is not:
-// its next heartbeat is to say the same.
+// coldUntil returns the time until which an instance is cold. It is zero for one that is not cold,
+// so that its next heartbeat is no change.
 func coldUntil(milliseconds uint32, now time.Time) time.Time {
 	if milliseconds == 0 {
 		return time.Time{}
@@ -44,13 +44,12 @@
 	return now.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-// before returns a time that lies some milliseconds back.
-func before(now time.Time, milliseconds uint64) time.Time {
+// ago returns the time that lies the given number of milliseconds back.
+func ago(now time.Time, milliseconds uint64) time.Time {
 	return now.Add(-time.Duration(milliseconds) * time.Millisecond)
 }
 
-// fromWeights lists the versions in the order of the models, so that equal maps give
-// equal lists.
+// fromWeights lists the versions ordered by model, so that equal maps give equal lists.
 func fromWeights(versions map[string]uint64) []*wire.WeightVersion {
 	var out []*wire.WeightVersion
 	for _, model := range slices.Sorted(maps.Keys(versions)) {
@@ -67,8 +66,8 @@
 	return out
 }
 
-// newer reports whether some versions hold a higher one than known ones.
-func newer(versions, known map[string]uint64) bool {
+// anyNewer reports whether any of the versions is higher than the known one.
+func anyNewer(versions, known map[string]uint64) bool {
 	for model, version := range versions {
 		if version > known[model] {
 			return true
@@ -121,7 +120,7 @@
 	return out
 }
 
-// toIDs reads ids; what is none names no piece, and is left out.
+// toIDs converts ids. Malformed ids, which name no piece, are left out.
 func toIDs(in [][]byte) []chunks.ID {
 	out := make([]chunks.ID, 0, len(in))
 	for _, b := range in {
--- a/internal/transport/fleet/evacuation.go
+++ b/internal/transport/fleet/evacuation.go
@@ -10,26 +10,26 @@
 	"github.com/shedrock/shedrock/internal/state/evacuation"
 )
 
-// evacuated is a failure domain as a control instance has applied it, and since when.
-type evacuated struct {
+// appliedEvacuation is a failure domain's state as a control instance applied it, and since when.
+type appliedEvacuation struct {
 	evacuation.Domain
 	since time.Time
 }
 
-// watcher is what an entry said of itself when it asked last.
-type watcher struct {
-	at time.Time
-	// evacuations is the newest change of evacuations that it has in force.
+// entryStatus is what an entry reported about itself in its last poll.
+type entryStatus struct {
+	polledAt time.Time
+	// evacuations is the newest revision of evacuations that the entry has in force.
 	evacuations uint64
 }
 
-// PublishEvacuations sets the failure domains that were evacuated, as far as this control instance
-// has applied the log.
+// PublishEvacuations sets the evacuations of failure domains that this control instance has applied
+// from the log.
 func (s *Source) PublishEvacuations(domains []evacuation.Domain) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	before := s.evacuated
+	before := s.evacuationRevision
 	known := map[evacuation.Domain]time.Time{}
 	for _, d := range s.evacuations {
 		known[d.Domain] = d.since
@@ -40,18 +40,18 @@
 		if !ok {
 			since = now
 		}
-		s.evacuations = append(s.evacuations, evacuated{d, since})
-		s.evacuated = max(s.evacuated, d.Revision)
+		s.evacuations = append(s.evacuations, appliedEvacuation{d, since})
+		s.evacuationRevision = max(s.evacuationRevision, d.Revision)
 	}
-	if s.evacuated > before {
-		s.wake()
+	if s.evacuationRevision > before {
+		s.notifyNow()
 	}
 }
 
-// tellEvacuations adds all evacuations if any is newer than what the caller has in force; mu must be
-// held.
-func (s *Source) tellEvacuations(known uint64, out *wire.FleetResponse) {
-	if s.evacuated > known {
+// addEvacuations adds all evacuations if any is newer than those that the poller has in force; mu
+// must be held.
+func (s *Source) addEvacuations(known uint64, out *wire.FleetResponse) {
+	if s.evacuationRevision > known {
 		out.Evacuations = s.evacuationStates()
 	}
 }
@@ -67,7 +67,8 @@
 	return out
 }
 
-// EvacuationStatus returns the evacuations that are applied here, and what entries said of themselves.
+// EvacuationStatus returns the evacuations applied here, and the revision that each entry has in
+// force.
 func (s *Source) EvacuationStatus() ([]*wire.EvacuationState, []*wire.EntryReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,8 +80,8 @@
 	return s.evacuationStates(), entries
 }
 
-// takeEvacuations joins the evacuations that a source told; mu must be held.
-func (f *Follower) takeEvacuations(address string, out *wire.FleetResponse, now time.Time) {
+// applyEvacuations merges the evacuations in a source's answer; mu must be held.
+func (f *Follower) applyEvacuations(address string, out *wire.FleetResponse, now time.Time) {
 	for _, in := range out.Evacuations {
 		d := evacuation.Domain{Name: in.Domain, Evacuated: in.Evacuated, Revision: in.Revision}
 		age := time.Duration(in.AgeMilliseconds) * time.Millisecond
--- a/internal/transport/fleet/evacuation_test.go
+++ b/internal/transport/fleet/evacuation_test.go
@@ -22,20 +22,21 @@
 	return out
 }
 
-// An evacuation reaches an entry from whichever control instance has applied it; one that lags, or
-// that has started again and holds nothing yet, takes nothing back. An entry that starts knows it
-// with the first answer, and sources know which entries have it.
+// An evacuation must reach an entry from whichever control instance has applied it. A control
+// instance that lags, or that has restarted and has no state yet, must not revert it. An entry that
+// starts must receive it with the first answer, and sources must know which entries have it in
+// force.
 func TestEvacuationsReachEntries(t *testing.T) {
 	a, b := newControl(t), newControl(t)
 	f := follow(t, a, b)
 	a.source.Load().PublishEvacuations(evacuated("d1"))
-	wait(t, "d1 is evacuated", func() bool { return cmp.Equal([]string{"d1"}, domainsOf(f)) })
+	waitFor(t, "d1 is evacuated", func() bool { return cmp.Equal([]string{"d1"}, domainsOf(f)) })
 	b.source.Load().PublishEvacuations(evacuated("d1", "d2"))
-	wait(t, "d2 is too", func() bool { return cmp.Equal([]string{"d1", "d2"}, domainsOf(f)) })
+	waitFor(t, "d2 is evacuated too", func() bool { return cmp.Equal([]string{"d1", "d2"}, domainsOf(f)) })
 	a.restart()
 	a.source.Load().PublishEvacuations(evacuated("d1"))
-	wait(t, "both sources know that the entry has both", func() bool {
-		for _, c := range []*control{a, b} {
+	waitFor(t, "both sources know that the entry has both evacuations in force", func() bool {
+		for _, c := range []*controlServer{a, b} {
 			_, entries := c.source.Load().EvacuationStatus()
 			if len(entries) != 1 || entries[0].Evacuations != 2 {
 				return false
@@ -47,16 +48,16 @@
 		t.Error(diff)
 	}
 	b.source.Load().PublishEvacuations([]evacuation.Domain{{Name: "d1", Revision: 3}, {Name: "d2", Evacuated: true, Revision: 2}})
-	wait(t, "d1 is used again", func() bool { return cmp.Equal([]string{"d2"}, domainsOf(f)) })
+	waitFor(t, "the evacuation of d1 has ended", func() bool { return cmp.Equal([]string{"d2"}, domainsOf(f)) })
 	if _, ok := f.View().Returned["d1"]; !ok {
-		t.Error("d1 has not returned")
+		t.Error("d1 is missing from Returned")
 	}
 	late := followAs(t, "late", b)
-	wait(t, "an entry that starts knows it", func() bool { return cmp.Equal([]string{"d2"}, domainsOf(late)) })
+	waitFor(t, "an entry that starts knows the evacuation", func() bool { return cmp.Equal([]string{"d2"}, domainsOf(late)) })
 }
 
-// While nothing changes, answers say nothing of evacuations.
-func TestEvacuationsAreToldOnce(t *testing.T) {
+// While nothing changes, answers must not contain evacuations.
+func TestEvacuationsAreSentOnce(t *testing.T) {
 	c := newControl(t)
 	c.source.Load().PublishEvacuations(evacuated("d1"))
 	for known, want := range []int{1, 0} {
@@ -65,12 +66,13 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(want, len(out.Evacuations)); diff != "" {
-			t.Errorf("to one that knows change %d: %s", known, diff)
+			t.Errorf("poller that has revision %d: %s", known, diff)
 		}
 	}
 }
 
-// Each entry is told its place among those that ask, so that they share out what may be sent.
+// Each entry must receive its rank among the entries that poll, by which they divide the fleet-wide
+// limits.
 func TestEntriesHaveRanks(t *testing.T) {
 	c := newControl(t)
 	names := []string{"e1", "e2", "e3"}
--- a/internal/transport/fleet/facts_test.go
+++ b/internal/transport/fleet/facts_test.go
@@ -21,51 +21,51 @@
 
 var deadlyRequest = quarantine.DigestOf("team", []string{"/deadly"}, nil)
 
-// tracking starts an entry that follows some sources and tracks ends of instances.
-func tracking(t *testing.T, name string, controls ...*control) *ends.Tracker {
+// startTracker starts an entry that follows some sources and tracks instance ends.
+func startTracker(t *testing.T, name string, controls ...*controlServer) *ends.Tracker {
 	t.Helper()
-	tracker := &ends.Tracker{Entries: func() int { return 1 }, Metrics: ends.NewMetrics(), Log: quiet}
+	tracker := &ends.Tracker{Entries: func() int { return 1 }, Metrics: ends.NewMetrics(), Log: discardLogger}
 	followWith(t, name, tracker, controls...)
 	return tracker
 }
 
-// see has an entry see that an instance ended under the deadly request.
-func see(tracker *ends.Tracker, instance string) {
+// recordEnd makes an entry observe that an instance ended under the deadly request.
+func recordEnd(tracker *ends.Tracker, instance string) {
 	in := registry.Instance{ID: instance, Address: "at " + instance}
-	tracker.RecordBroken(context.Background(), ends.Attempt{Request: "r", Digest: deadlyRequest, To: in, Sent: time.Now()}, refuses)
+	tracker.RecordBroken(context.Background(), ends.Attempt{Request: "r", Digest: deadlyRequest, To: in, Sent: time.Now()}, refusesConnections)
 }
 
-// holds reports whether an entry holds the deadly request.
-func holds(tracker *ends.Tracker) bool {
+// isHeld reports whether an entry holds the deadly request.
+func isHeld(tracker *ends.Tracker) bool {
 	verdict, c, done := tracker.Begin(deadlyRequest)
 	done()
 	_, hold := verdict.(quarantine.Hold)
 	return hold && c.Held
 }
 
-// known waits until an entry holds the deadly request, and checks how long that took.
-func known(t *testing.T, what string, tracker *ends.Tracker, since time.Time) {
+// waitHeld waits until an entry holds the deadly request, and checks how long that took.
+func waitHeld(t *testing.T, what string, tracker *ends.Tracker, since time.Time) {
 	t.Helper()
-	wait(t, what, func() bool { return holds(tracker) })
+	waitFor(t, what, func() bool { return isHeld(tracker) })
 	if took := time.Since(since); took > endsKnownWithin {
 		t.Errorf("%s after %s", what, took)
 	}
 }
 
-// Each of three entries sees one end, and all know of three: those that share no source learn by
-// an entry between, without a leader. One that starts anew knows before it serves, and a source
-// that does is told again.
+// Each of three entries observes one end, and all must learn of all three. Those without a common
+// source learn of them through an entry that polls both sources, without a leader. An entry that
+// starts must know them before it serves, and a source that restarts must receive them again.
 func TestEndsAreKnownToAllEntries(t *testing.T) {
 	left, right := newControl(t), newControl(t)
-	a := tracking(t, "a", left)
-	b := tracking(t, "b", left, right)
-	c := tracking(t, "c", right)
+	a := startTracker(t, "a", left)
+	b := startTracker(t, "b", left, right)
+	c := startTracker(t, "c", right)
 	began := time.Now()
-	see(a, "i-1")
-	see(b, "i-2")
-	see(c, "i-3")
+	recordEnd(a, "i-1")
+	recordEnd(b, "i-2")
+	recordEnd(c, "i-3")
 	for name, tracker := range map[string]*ends.Tracker{"a": a, "b": b, "c": c} {
-		known(t, name+" knows of three ends", tracker, began)
+		waitHeld(t, name+" knows of three ends", tracker, began)
 	}
 
 	out, err := left.source.Load().Watch(context.Background(), &wire.FleetRequest{})
@@ -75,51 +75,53 @@
 
 	began = time.Now()
 	left.restart()
-	d := tracking(t, "d", left)
-	known(t, "an entry of a source that forgot all knows", d, began)
+	d := startTracker(t, "d", left)
+	waitHeld(t, "an entry of the restarted source knows of three ends", d, began)
 }
 
-// A domain that is cut off goes by what it sees, and joins what it learned once it is back.
-func TestDomainThatWasCutOffJoinsWhatItLearned(t *testing.T) {
+// A failure domain that is cut off must act on its own observations, and exchange facts with the
+// others once it is connected again.
+func TestPartitionedDomainMergesFacts(t *testing.T) {
 	here, there := newControl(t), newControl(t)
-	a, b := tracking(t, "a", here), tracking(t, "b", there)
+	a, b := startTracker(t, "a", here), startTracker(t, "b", there)
 	for _, instance := range []string{"i-1", "i-2", "i-3"} {
-		see(a, instance)
+		recordEnd(a, instance)
 	}
-	if !holds(a) || holds(b) {
-		t.Error("held where it was seen, and where it was not: ", holds(a), holds(b))
+	if !isHeld(a) || isHeld(b) {
+		t.Error("held by the entry that observed the ends, and by the other: ", isHeld(a), isHeld(b))
 	}
 	began := time.Now()
-	tracking(t, "between", here, there)
-	known(t, "the other domain knows", b, began)
+	startTracker(t, "between", here, there)
+	waitHeld(t, "the other domain knows of three ends", b, began)
 }
 
-// A good answer seen by one entry clears a request everywhere, whoever saw the ends.
-func TestGoodAnswerClearsEverywhere(t *testing.T) {
+// A success observed by one entry must clear a request everywhere, whoever observed the ends.
+func TestSuccessClearsRequestEverywhere(t *testing.T) {
 	source := newControl(t)
-	a, b := tracking(t, "a", source), tracking(t, "b", source)
+	a, b := startTracker(t, "a", source), startTracker(t, "b", source)
 	b.RecordSuccess(ends.Attempt{Request: "r", Digest: deadlyRequest, To: registry.Instance{ID: "i-0"}, Sent: time.Now()})
-	see(a, "i-1")
-	wait(t, "the other entry's answer is known", func() bool {
+	recordEnd(a, "i-1")
+	waitFor(t, "the other entry's success is known", func() bool {
 		_, c, done := a.Begin(deadlyRequest)
 		done()
 		return !c.LastSuccess.IsZero()
 	})
-	see(a, "i-2")
-	see(a, "i-3")
-	if holds(a) {
-		t.Error("a request that came to a good end is held by ends that came at once")
+	recordEnd(a, "i-2")
+	recordEnd(a, "i-3")
+	if isHeld(a) {
+		t.Error("a request that succeeded is held because of ends that came before or right after")
 	}
 }
 
-// refuses says that an instance's address refuses connections.
-func refuses(context.Context, registry.Instance) bool { return true }
+// refusesConnections reports that an instance's address refuses connections.
+func refusesConnections(context.Context, registry.Instance) bool { return true }
 
-// All processes may lose power at once: a control instance tells what it had written down.
-func TestFactsAreRemembered(t *testing.T) {
+// All processes may lose power at once, so a control instance must publish the facts that it wrote
+// to its file before the restart.
+func TestFactsArePersisted(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "instances")
 	life, end := context.WithCancel(t.Context())
-	first := fleet.NewSource(life, heartbeat, quiet)
+	first := fleet.NewSource(life, heartbeat, discardLogger)
 	first.Persist(life, path)
 	now := time.Now()
 	facts := []quarantine.Fact{quarantine.InstanceEnded{Digest: deadlyRequest, Incarnation: registry.Incarnation{ID: "i-1", Start: 1}, Address: "at i-1", Sent: now, At: now}}
@@ -127,9 +129,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "it is written", func() bool { _, err := os.Stat(path); return err == nil })
+	waitFor(t, "the file is written", func() bool { _, err := os.Stat(path); return err == nil })
 	end()
-	next := fleet.NewSource(t.Context(), heartbeat, quiet)
+	next := fleet.NewSource(t.Context(), heartbeat, discardLogger)
 	next.Persist(t.Context(), path)
 	out, err := next.Watch(t.Context(), &wire.FleetRequest{})
 	if diff := cmp.Diff(1, len(out.GetFacts())); diff != "" || err != nil {
--- a/internal/transport/fleet/failures.go
+++ b/internal/transport/fleet/failures.go
@@ -11,34 +11,35 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// failingFor is how long the word of a source that does not answer any more holds about instances
-// that fail.
-const failingFor = 2 * time.Second
+// failingRetention is how long the failing instances reported by a source remain in effect after
+// its last answer.
+const failingRetention = 2 * time.Second
 
-// judge sets the instances that fail by what entries told, and reports whether they changed; mu must
-// be held.
-func (s *Source) judge(now time.Time) bool {
+// updateFailing updates the instances that are judged to fail, and reports whether they changed; mu
+// must be held.
+func (s *Source) updateFailing(now time.Time) bool {
 	failing := s.suspects.Ejected(s.countEntries(), now)
 	if slices.Equal(s.failing, failing) {
 		return false
 	}
-	for _, of := range failing {
-		if !slices.Contains(s.failing, of) {
-			s.log.Info().Str("event", "instance_fails").Str("instance", of.ID).Int64("start", int64(of.Start)).Msg("")
+	for _, target := range failing {
+		if !slices.Contains(s.failing, target) {
+			s.log.Info().Str("event", "instance_fails").Str("instance", target.ID).Int64("start", int64(target.Start)).Msg("")
 		}
 	}
-	for _, of := range s.failing {
-		if !slices.Contains(failing, of) {
-			s.log.Info().Str("event", "instance_fails_no_more").Str("instance", of.ID).Int64("start", int64(of.Start)).Msg("")
+	for _, target := range s.failing {
+		if !slices.Contains(failing, target) {
+			s.log.Info().Str("event", "instance_fails_no_more").Str("instance", target.ID).Int64("start", int64(target.Start)).Msg("")
 		}
 	}
 	s.failing = failing
 	return true
 }
 
-// tellFailures tells sources which requests failed where, until ctx ends. What does not arrive is
-// not told again, and one that has not answered the last telling is left out: it is old by then.
-func (f *Follower) tellFailures(ctx context.Context) {
+// reportFailures reports failed requests to the sources until ctx ends. A report that does not
+// arrive is not sent again, as it is outdated by then, and a source that has not answered the last
+// report is left out for the same reason.
+func (f *Follower) reportFailures(ctx context.Context) {
 	for {
 		select {
 		case <-f.FailuresPending:
@@ -46,7 +47,7 @@
 			return
 		}
 		select {
-		case <-time.After(tellWait):
+		case <-time.After(batchDelay):
 		case <-ctx.Done():
 			return
 		}
@@ -54,63 +55,63 @@
 		if len(in.Failures) == 0 {
 			continue
 		}
-		for address, s := range f.free() {
+		for address, s := range f.claimSources() {
 			go func() {
-				defer f.toldFailures(s)
-				ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+				defer f.releaseSource(s)
+				ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 				defer cancel()
-				// One that is not reached shows in the polls.
+				// Errors are ignored: an unreachable source shows in the polls.
 				_, _ = wire.NewFleetProtobufClient("http://"+address, f.client).Tell(ctx, in)
 			}()
 		}
 	}
 }
 
-// free returns the sources within reach that are not being told of failures, and takes them for being
-// told.
-func (f *Follower) free() map[string]*knownSource {
+// claimSources returns the reachable sources to which no report of failures is being sent, and
+// marks them as being sent one.
+func (f *Follower) claimSources() map[string]*sourceState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := map[string]*knownSource{}
+	out := map[string]*sourceState{}
 	for address, s := range f.sources {
-		if s.reached && !s.tellingFailures {
-			s.tellingFailures = true
+		if s.reachable && !s.sendingFailures {
+			s.sendingFailures = true
 			out[address] = s
 		}
 	}
 	return out
 }
 
-// toldFailures lets a source be told of failures again.
-func (f *Follower) toldFailures(s *knownSource) {
+// releaseSource allows the next report of failures to a source.
+func (f *Follower) releaseSource(s *sourceState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.tellingFailures = false
+	s.sendingFailures = false
 }
 
-// failing returns the instances that most sources judge to fail of those that answered lately; mu
-// must be held.
+// failing returns the instances that a majority of the sources that answered lately judge to fail;
+// mu must be held.
 func (f *Follower) failing(now time.Time) map[registry.Incarnation]bool {
-	asked := 0
-	named := map[registry.Incarnation]int{}
+	voters := 0
+	votes := map[registry.Incarnation]int{}
 	for _, s := range f.sources {
-		if now.Sub(s.answered) > failingFor {
+		if now.Sub(s.answeredAt) > failingRetention {
 			continue
 		}
-		asked++
-		for _, of := range s.failing {
-			named[of]++
+		voters++
+		for _, target := range s.failing {
+			votes[target]++
 		}
 	}
 	var out map[registry.Incarnation]bool
-	for of, n := range named {
-		if 2*n <= asked {
+	for target, n := range votes {
+		if 2*n <= voters {
 			continue
 		}
 		if out == nil {
 			out = map[registry.Incarnation]bool{}
 		}
-		out[of] = true
+		out[target] = true
 	}
 	return out
 }
@@ -137,8 +138,8 @@
 	return out
 }
 
-// takeFailures joins what an entry saw; mu must be held.
-func (s *Source) takeFailures(in []*wire.InstanceFailures) {
+// recordFailures records the failures that an entry reports; mu must be held.
+func (s *Source) recordFailures(in []*wire.InstanceFailures) {
 	if len(in) > 0 {
 		s.suspects.AddReports(toFailures(in), clock.Now())
 	}
--- a/internal/transport/fleet/fixture_test.go
+++ b/internal/transport/fleet/fixture_test.go
@@ -23,32 +23,33 @@
 	"github.com/shedrock/shedrock/internal/transport/fleet"
 )
 
-// heartbeat is so long that a poll which was under way at a restart ends before the source
-// that it asked would call anybody silent.
+// heartbeat is so long that a poll that was in progress at a restart ends before the restarted
+// source would report an instance as silent.
 const heartbeat = 400 * time.Millisecond
 
-var quiet = &log.Logger{Level: log.PanicLevel}
+var discardLogger = &log.Logger{Level: log.PanicLevel}
 
-// control is one source behind an address; it may be replaced, as by a restart.
-type control struct {
+// controlServer serves a source, which can be replaced as by a restart.
+type controlServer struct {
 	server *httptest.Server
 	source atomic.Pointer[fleet.Source]
-	// polls counts the polls, and texts how often the configuration's text was asked for.
-	polls, texts atomic.Int64
-	// mute makes it answer no question for the text.
-	mute atomic.Bool
-	t    *testing.T
+	// polls counts the polls, and textRequests the requests for the configuration's text.
+	polls, textRequests atomic.Int64
+	// unresponsive leaves requests for the configuration's text without an answer.
+	unresponsive atomic.Bool
+	t            *testing.T
 }
 
-func newControl(t *testing.T) *control {
+func newControl(t *testing.T) *controlServer {
 	t.Helper()
-	c := &control{t: t}
+	c := &controlServer{t: t}
 	c.restart()
 	c.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/ConfigurationPieces") {
-			c.texts.Add(1)
-			if c.mute.Load() {
-				// The end of the connection shows only once the request was read.
+			c.textRequests.Add(1)
+			if c.unresponsive.Load() {
+				// The server detects a closed connection only once the request's body has been
+				// read.
 				_, _ = io.Copy(io.Discard, r.Body)
 				<-r.Context().Done()
 				return
@@ -62,15 +63,15 @@
 	return c
 }
 
-func (c *control) restart() {
+func (c *controlServer) restart() {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.t.Cleanup(cancel)
-	c.source.Store(fleet.NewSource(ctx, heartbeat, quiet))
+	c.source.Store(fleet.NewSource(ctx, heartbeat, discardLogger))
 }
 
-func (c *control) address() string { return strings.TrimPrefix(c.server.URL, "http://") }
+func (c *controlServer) address() string { return strings.TrimPrefix(c.server.URL, "http://") }
 
-func (c *control) install(version uint64) {
+func (c *controlServer) publishConfig(version uint64) {
 	c.source.Load().Publish(ledger.Installed{Version: version, Text: []byte(strconv.FormatUint(version, 10))}, nil)
 }
 
@@ -78,22 +79,22 @@
 	return registry.Instance{ID: id, Service: "s", Address: "at " + id, Sequence: sequence}
 }
 
-// follow starts a follower of some sources whose configurations are bare numbers.
-func follow(t *testing.T, controls ...*control) *fleet.Follower {
+// follow starts a follower of some sources whose configurations are plain version numbers.
+func follow(t *testing.T, controls ...*controlServer) *fleet.Follower {
 	t.Helper()
 	return followAs(t, "e", controls...)
 }
 
-func followAs(t *testing.T, name string, controls ...*control) *fleet.Follower {
+func followAs(t *testing.T, name string, controls ...*controlServer) *fleet.Follower {
 	t.Helper()
 	return followWith(t, name, nil, controls...)
 }
 
-// followWith starts a follower that brings a tracker what others saw.
-func followWith(t *testing.T, name string, tracker *ends.Tracker, controls ...*control) *fleet.Follower {
+// followWith starts a follower that exchanges facts between the sources and a tracker.
+func followWith(t *testing.T, name string, tracker *ends.Tracker, controls ...*controlServer) *fleet.Follower {
 	t.Helper()
 	f := &fleet.Follower{
-		Name: name, Entry: true, Heartbeat: heartbeat, Ends: tracker, Log: quiet,
+		Name: name, Entry: true, Heartbeat: heartbeat, Ends: tracker, Log: discardLogger,
 		Seeds: func() []string {
 			var out []string
 			for _, c := range controls {
@@ -113,12 +114,12 @@
 	return f
 }
 
-func wait(t *testing.T, what string, done func() bool) {
+func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	await.Until(t, 20*time.Second, what, done)
 }
 
-func live(f *fleet.Follower) []string {
+func liveIDs(f *fleet.Follower) []string {
 	out := []string{}
 	for _, in := range f.View().Instances["s"] {
 		out = append(out, in.ID)
--- a/internal/transport/fleet/fleet_test.go
+++ b/internal/transport/fleet/fleet_test.go
@@ -11,21 +11,21 @@
 	a, b := newControl(t), newControl(t)
 	f := follow(t, a, b)
 	a.source.Load().RecordHeartbeat(instance("x", 1))
-	wait(t, "x lives", func() bool { return len(live(f)) == 1 })
+	waitFor(t, "x is live", func() bool { return len(liveIDs(f)) == 1 })
 	leaving := instance("x", 2)
 	leaving.Leaving = true
 	b.source.Load().RecordHeartbeat(leaving)
-	wait(t, "x is gone", func() bool { return len(live(f)) == 0 })
+	waitFor(t, "x is gone", func() bool { return len(liveIDs(f)) == 0 })
 }
 
-// A source that comes back empty takes nothing away from those that go on reporting, and
-// those that do not are gone after a few heartbeats.
+// A source that restarts without state must not remove instances that go on reporting; those that
+// do not report must disappear after a few heartbeats.
 func TestRestartedSource(t *testing.T) {
 	a := newControl(t)
 	f := follow(t, a)
 	a.source.Load().RecordHeartbeat(instance("x", 1))
 	a.source.Load().RecordHeartbeat(instance("y", 1))
-	wait(t, "both live", func() bool { return len(live(f)) == 2 })
+	waitFor(t, "both are live", func() bool { return len(liveIDs(f)) == 2 })
 	a.restart()
 	a.source.Load().RecordHeartbeat(instance("x", 2))
 	stop := make(chan struct{})
@@ -40,10 +40,10 @@
 		}
 	}()
 	defer close(stop)
-	wait(t, "only x is left", func() bool {
-		got := live(f)
+	waitFor(t, "only x is left", func() bool {
+		got := liveIDs(f)
 		if len(got) == 0 || got[0] != "x" {
-			t.Fatalf("x was forgotten: %v", got)
+			t.Fatalf("x was dropped: %v", got)
 		}
 		return len(got) == 1
 	})
@@ -53,16 +53,14 @@
 	a := newControl(t)
 	first := follow(t, a)
 	followAs(t, "other", a)
-	wait(t, "two entries", func() bool { return first.View().Entries == 2 })
+	waitFor(t, "two entries are counted", func() bool { return first.View().Entries == 2 })
 }
 
-// What was seen: for a second after a start of all entries, all of them sent to 40 of 112 instances,
-// and a third of their callers were answered late. Instances report to one control instance at a
-// time, and entries asked only the three that their settings name until they looked at the list of all
-// again, a second later.
-//
-// An entry asks the control instances that it is told of at once.
-func TestNamedSourcesAreAskedAtOnce(t *testing.T) {
+// An entry must poll the control instances that a source lists at once. It used to read the list a
+// second later. Instances report to one control instance at a time, and until then the entry polled
+// only the three seeds in its settings. After a start of all entries, all of them sent to 40 of 112
+// instances for a second, and a third of the requests were answered late.
+func TestAnnouncedSourcesArePolledImmediately(t *testing.T) {
 	const within = slowdown * 300 * time.Millisecond
 	seed, other := newControl(t), newControl(t)
 	seed.source.Load().PublishControl([]string{seed.address(), other.address()})
@@ -70,8 +68,8 @@
 	other.source.Load().RecordHeartbeat(instance("y", 1))
 	began := time.Now()
 	f := follow(t, seed)
-	wait(t, "all instances are known", func() bool { return cmp.Equal([]string{"x", "y"}, live(f)) })
+	waitFor(t, "all instances are known", func() bool { return cmp.Equal([]string{"x", "y"}, liveIDs(f)) })
 	if took := time.Since(began); took > within {
-		t.Errorf("after %s, must be within %s", took, within)
+		t.Errorf("all instances known after %s, must be within %s", took, within)
 	}
 }
--- a/internal/transport/fleet/follower.go
+++ b/internal/transport/fleet/follower.go
@@ -23,92 +23,94 @@
 )
 
 const (
-	// lostAfter is how long a source may be out of reach before what it alone vouched
-	// for is forgotten, while another source is within reach.
-	lostAfter = 15 * time.Second
-	// viewInterval is how often the view is made anew without news, for what ages, and seeds are
-	// looked at again.
+	// sourceLostAfter is how long a source may be unreachable before instances reported only by it
+	// are dropped, while another source is reachable.
+	sourceLostAfter = 15 * time.Second
+	// viewInterval is how often the view is rebuilt without changes, to account for expiry, and how
+	// often the seeds are read again.
 	viewInterval = time.Second
-	// joinShare bounds the time spent on joining the instances, to one part in so many: it takes
-	// longer the more there are, and each source tells of them in answers of its own. joinPause is
-	// the least time between two.
-	joinShare = 10
-	joinPause = 50 * time.Millisecond
+	// rebuildShare limits the time spent on rebuilding the list of instances to a fraction of
+	// 1/rebuildShare: the more instances there are the longer it takes, and each source sends them
+	// in separate answers. minRebuildPause is the minimum time between two rebuilds.
+	rebuildShare    = 10
+	minRebuildPause = 50 * time.Millisecond
 )
 
-// Follower watches all sources. Set the exported fields, then Run.
+// Follower polls all sources and merges their answers. Set the exported fields, then call Run.
 type Follower struct {
-	// Name identifies this process to the sources; Entry says that it serves callers.
+	// Name identifies this process to the sources. Entry is true if it serves requests.
 	Name  string
 	Entry bool
-	// Seeds returns the sources to begin with; it may change.
+	// Seeds returns the addresses of the sources to start with. The result may change over time.
 	Seeds func() []string
-	// Decode reads a configuration's text; the result was checked.
+	// Decode decodes a configuration's text and validates the result.
 	Decode func([]byte) (*deployment.Config, error)
-	// Heartbeat is how often instances report.
+	// Heartbeat is the interval at which instances report.
 	Heartbeat time.Duration
-	// Ends, when set, holds what this entry knows of ends of instances, and learns what others do.
+	// Ends, when set, is this entry's tracker of instance ends. Its facts are sent to the sources,
+	// and facts received from them are merged into it.
 	Ends *ends.Tracker
-	// FailuresPending, when set, is signalled when requests have failed at instances that answered, and
-	// Failures returns what was seen since the last call.
+	// FailuresPending, when set, is signalled when requests have failed at instances that answered.
+	// TakeFailures returns the failures since its last call.
 	FailuresPending <-chan struct{}
 	TakeFailures    func() []suspects.Failures
-	// Log receives one line for each event.
+	// Log receives one line per event.
 	Log *log.Logger
 
 	once   sync.Once
 	client *http.Client
-	// work ends with Run; it is set before the first watch begins.
-	work context.Context
-	view atomic.Pointer[View]
-	// renamed holds a token when a source named other control instances than before.
-	renamed chan struct{}
+	// runCtx is the context of Run. It is set before the first source is polled.
+	runCtx context.Context
+	view   atomic.Pointer[View]
+	// refreshRequested holds a token if a source's list of control instances has changed.
+	refreshRequested chan struct{}
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 	config *deployment.Config
-	// fetching is true while a configuration is fetched.
+	// fetching is true while a configuration is being fetched.
 	fetching bool
-	// unreadable is the newest version whose text did not decode; it is not fetched again.
+	// unreadable is the newest version whose text failed to decode; it is not fetched again.
 	unreadable uint64
-	// text is that of config. Only the fetch under way reads or replaces it.
+	// text is the text of config. Only the fetch in progress reads or replaces it.
 	text   *chunks.Text
 	merged registry.Merged
-	// named holds what any source told of the versions of weights that were named.
-	named map[string]weights.History
-	// evacuations holds what any source told of evacuated failure domains.
+	// weightHistories holds the announcements of weight versions merged from all sources.
+	weightHistories map[string]weights.History
+	// evacuations holds the evacuations of failure domains merged from all sources.
 	evacuations evacuation.View
 	contact     Contact
-	// outOfReach is what was last logged of contact.
-	outOfReach bool
-	sources    map[string]*knownSource
-	// instances is the last view's, made at joinedAt in joinTook; it is made anew only after
-	// reports, and each viewInterval for what ages. succession is of the same instances.
-	instances  map[string][]registry.Instance
-	succession *succession
-	joinedAt   time.Time
-	joinTook   time.Duration
-	// joining is true while the instances are to be joined soon.
-	joining bool
+	// loggedUnreachable is whether contact was unreachable when that was last logged.
+	loggedUnreachable bool
+	sources           map[string]*sourceState
+	// instances holds the live instances of the last view. The list was completed at rebuiltAt,
+	// which took rebuildDuration. It is rebuilt only after reports, and every viewInterval to
+	// account for expiry. ownership belongs to the same list.
+	instances       map[string][]registry.Instance
+	ownership       *ownership
+	rebuiltAt       time.Time
+	rebuildDuration time.Duration
+	// rebuildScheduled is true while a rebuild of instances is scheduled.
+	rebuildScheduled bool
 }
 
 func (f *Follower) init() {
 	f.once.Do(func() {
-		// One connection a poll at most, and none that outlives a cut: a poll that
-		// times out closes its connection.
+		// There is at most one connection per poll, and none survives a network partition: a poll
+		// that times out closes its connection.
 		f.client = &http.Client{Timeout: pollTimeout, Transport: &http.Transport{
 			DialContext: netdial.NewAdaptiveDialer(dialTimeout).DialContext,
 		}}
-		f.merged = registry.Merged{Grace: silentBeats * f.Heartbeat, Declared: f.declared}
-		f.named = map[string]weights.History{}
-		f.sources = map[string]*knownSource{}
-		f.renamed = make(chan struct{}, 1)
+		f.merged = registry.Merged{Grace: silentHeartbeats * f.Heartbeat, Declared: f.declared}
+		f.weightHistories = map[string]weights.History{}
+		f.sources = map[string]*sourceState{}
+		f.refreshRequested = make(chan struct{}, 1)
 		f.view.Store(&View{Entries: 1})
 	})
 }
 
-// declared reports whether the configuration in force has a service; before the first one is
-// known, any may come. mu must be held.
+// declared reports whether the configuration in force has a service. Before the first configuration
+// is known, it accepts all services. mu must be held.
 func (f *Follower) declared(service string) bool {
 	if f.config == nil {
 		return true
@@ -123,16 +125,16 @@
 	return f.view.Load()
 }
 
-// Run follows until ctx ends.
+// Run polls the sources until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	f.init()
-	f.work = ctx
+	f.runCtx = ctx
 	defer f.client.CloseIdleConnections()
 	if f.Ends != nil {
-		go f.tellFacts(ctx)
+		go f.reportFacts(ctx)
 	}
 	if f.FailuresPending != nil {
-		go f.tellFailures(ctx)
+		go f.reportFailures(ctx)
 	}
 	ticker := time.NewTicker(viewInterval)
 	defer ticker.Stop()
@@ -140,15 +142,14 @@
 		f.refresh(ctx)
 		select {
 		case <-ticker.C:
-		case <-f.renamed:
+		case <-f.refreshRequested:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// refresh starts and stops watches as the list of sources changes, and makes the view
-// anew.
+// refresh starts and stops polling as the list of sources changes, and publishes a new view.
 func (f *Follower) refresh(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -158,7 +159,7 @@
 			continue
 		}
 		watch, cancel := context.WithCancel(ctx)
-		f.sources[address] = &knownSource{cancel: cancel, answered: clock.Now(), told: ends.NewReceiverState()}
+		f.sources[address] = &sourceState{cancel: cancel, answeredAt: clock.Now(), receiver: ends.NewReceiverState()}
 		go f.watch(watch, address)
 	}
 	for address, s := range f.sources {
@@ -168,47 +169,46 @@
 			f.merged.DropSource(address, clock.Now())
 		}
 	}
-	f.forgetLost()
-	f.noteReach(clock.Now())
-	f.joinInstances()
+	f.dropLostSources()
+	f.logReachability(clock.Now())
+	f.rebuildInstances()
 	f.publish()
 }
 
-// wanted returns the seeds and whatever sources name as control instances; mu must be
-// held.
+// wanted returns the seeds and all control instances listed by reachable sources; mu must be held.
 func (f *Follower) wanted() []string {
 	set := map[string]bool{}
 	for _, address := range f.Seeds() {
 		set[address] = true
 	}
 	for _, s := range f.sources {
-		if !s.reached {
+		if !s.reachable {
 			continue
 		}
 		for _, address := range s.control {
 			set[address] = true
 		}
 	}
-	// A source that still answers is kept, whoever names it.
+	// A source that still answers is kept, even if no other lists it.
 	for address, s := range f.sources {
-		if s.reached || clock.Since(s.answered) < lostAfter {
+		if s.reachable || clock.Since(s.answeredAt) < sourceLostAfter {
 			set[address] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(set))
 }
 
-// forgetLost drops what only a long lost source vouches for, which is to tell it again once it
-// is back; mu must be held.
-func (f *Follower) forgetLost() {
-	reached := false
+// dropLostSources drops the reports of sources that have been unreachable for long; such a source
+// must send them again when it is back. mu must be held.
+func (f *Follower) dropLostSources() {
+	anyReachable := false
 	for _, s := range f.sources {
-		reached = reached || s.reached
+		anyReachable = anyReachable || s.reachable
 	}
 	for address, s := range f.sources {
-		if reached && clock.Since(s.answered) > lostAfter {
+		if anyReachable && clock.Since(s.answeredAt) > sourceLostAfter {
 			f.merged.DropSource(address, clock.Now())
-			s.forgetInstances()
+			s.requestAllInstances()
 		}
 	}
 }
--- a/internal/transport/fleet/follower_facts.go
+++ b/internal/transport/fleet/follower_facts.go
@@ -10,67 +10,70 @@
 )
 
 const (
-	// tellWait joins what is seen at once into one message.
-	tellWait = 100 * time.Millisecond
-	// tellInterval is how often it is looked what a source lacks, without news.
-	tellInterval = 250 * time.Millisecond
-	// tellTimeout gives up a source that is cut off or frozen; it is told again.
-	tellTimeout = time.Second
+	// batchDelay is how long to wait for further facts and failures, so as to send them in one
+	// message.
+	batchDelay = 100 * time.Millisecond
+	// factsInterval is how often the sources are checked for facts they lack when no new facts
+	// come.
+	factsInterval = 250 * time.Millisecond
+	// reportTimeout limits a call to a source that is cut off or frozen. The facts are sent again.
+	reportTimeout = time.Second
 )
 
-// takeFacts joins the facts that a source told; mu must be held.
-func (f *Follower) takeFacts(address string, s *knownSource, out *wire.FleetResponse, now time.Time) {
+// applyFacts merges the facts in a source's answer; mu must be held.
+func (f *Follower) applyFacts(address string, s *sourceState, out *wire.FleetResponse, now time.Time) {
 	if f.Ends == nil || len(out.Facts) == 0 {
 		return
 	}
 	facts := wire.ToFacts(out.Facts, now)
-	s.told.MarkKnown(facts)
+	s.receiver.MarkKnown(facts)
 	f.Ends.Merge(address, facts)
 }
 
-// tellFacts tells sources what they lack until ctx ends.
-func (f *Follower) tellFacts(ctx context.Context) {
+// reportFacts sends the sources the facts that they lack until ctx ends.
+func (f *Follower) reportFacts(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := f.Ends.Changed()
-		for address, facts := range f.untold() {
-			go f.tell(ctx, address, facts)
+		for address, facts := range f.claimUnsentFacts() {
+			go f.sendFacts(ctx, address, facts)
 		}
 		select {
 		case <-changed:
-		case <-time.After(tellInterval):
+		case <-time.After(factsInterval):
 			continue
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case <-time.After(tellWait):
+		case <-time.After(batchDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// untold returns what each source lacks that is within reach and not being told, and takes it for told.
-func (f *Follower) untold() map[string][]quarantine.Fact {
+// claimUnsentFacts returns the facts that each reachable source lacks, unless some are being sent
+// to it, and marks them as sent.
+func (f *Follower) claimUnsentFacts() map[string][]quarantine.Fact {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := map[string][]quarantine.Fact{}
 	for address, s := range f.sources {
-		if !s.reached || s.tellingFacts {
+		if !s.reachable || s.sendingFacts {
 			continue
 		}
-		facts := f.Ends.Unsent(s.told)
+		facts := f.Ends.Unsent(s.receiver)
 		if len(facts) > 0 {
-			s.tellingFacts = true
-			s.told.MarkKnown(facts)
+			s.sendingFacts = true
+			s.receiver.MarkKnown(facts)
 			out[address] = facts
 		}
 	}
 	return out
 }
 
-// tell tells one source; what it did not take is told again.
-func (f *Follower) tell(ctx context.Context, address string, facts []quarantine.Fact) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+// sendFacts sends facts to one source. On an error they are marked as unsent again.
+func (f *Follower) sendFacts(ctx context.Context, address string, facts []quarantine.Fact) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	client := wire.NewFleetProtobufClient("http://"+address, f.client)
 	_, err := client.Tell(ctx, &wire.TellRequest{Facts: wire.FromFacts(facts, clock.Now())})
@@ -78,13 +81,13 @@
 	defer f.mu.Unlock()
 	s := f.sources[address]
 	if s != nil {
-		s.tellingFacts = false
+		s.sendingFacts = false
 	}
 	if err == nil {
 		return
 	}
 	if s != nil {
-		s.told.MarkUnknown(facts)
+		s.receiver.MarkUnknown(facts)
 	}
 	f.Log.Info().Str("event", "facts_not_told").Str("address", address).Int("facts", len(facts)).Str("error", err.Error()).Msg("")
 }
--- a/internal/transport/fleet/follower_stores.go
+++ b/internal/transport/fleet/follower_stores.go
@@ -8,42 +8,42 @@
 	"github.com/shedrock/shedrock/internal/protocol/wire"
 )
 
-// shownStep bounds how often all parts of a store are copied to show more of them while they
-// come in many answers: whenever there are a quarter more, which is about five copies of each
-// part in all. A copy for each answer takes minutes of processor time with millions of parts.
-const shownStep = 4
+// copyGrowth limits how often the parts of a store are copied for the view while they arrive in
+// many answers: whenever their number has grown by 1/copyGrowth. That makes about five copies of
+// each part in all. A copy for each answer would take minutes of CPU time with millions of parts.
+const copyGrowth = 4
 
-// storesKnown is what one source told of stores. The zero value knows none.
-type storesKnown struct {
+// storesState is what one source has sent about stores. The zero value is empty.
+type storesState struct {
 	stores map[string]keeping.StoreContents
-	// addresses are by the source's numbers.
+	// addresses holds the address of each store by the source's number for it.
 	addresses map[uint32]string
 	// parts holds the parts of each store by its address.
-	parts map[string]*partsKnown
-	// change, backlog and until are the marks of the last answer.
+	parts map[string]*storeParts
+	// change, backlog and until are the cursors of the last answer.
 	change, backlog uint64
 	until           time.Duration
 }
 
-// partsKnown are the parts of one store. Others read those in storesKnown.stores, which are
-// behind while there is a backlog.
-type partsKnown struct {
+// storeParts holds the parts of one store. Readers use the copy in storesState.stores, which may
+// lag behind while there is a backlog.
+type storeParts struct {
 	tokens map[keeping.Part]int
-	// behind is true while others are not shown all of it.
-	behind bool
+	// stale is true while the copy lacks changes.
+	stale bool
 }
 
-// take joins what a source tells.
-func (k *storesKnown) take(out *wire.FleetResponse, now time.Time) {
+// apply merges a source's answer.
+func (k *storesState) apply(out *wire.FleetResponse, now time.Time) {
 	k.change = out.StoreChange
 	k.backlog = out.StoreBacklog
 	k.until = time.Duration(out.StoresUntil) * time.Millisecond
 	for _, state := range out.Stores {
-		k.takeState(state)
+		k.applyState(state)
 	}
 	for address, parts := range k.parts {
-		if parts.behind && k.backlog == 0 {
-			k.show(address, parts)
+		if parts.stale && k.backlog == 0 {
+			k.snapshot(address, parts)
 		}
 	}
 	for i, number := range out.StoreNumbers {
@@ -51,18 +51,18 @@
 		if !ok || i >= len(out.StoreAges) {
 			continue
 		}
-		kept := k.stores[address]
+		contents := k.stores[address]
 		until := k.until - time.Duration(out.StoreAges[i])*time.Millisecond
-		if until > kept.Until {
-			kept.ReceivedAt = now
+		if until > contents.Until {
+			contents.ReceivedAt = now
 		}
-		kept.Until = until
-		k.stores[address] = kept
+		contents.Until = until
+		k.stores[address] = contents
 	}
 }
 
-// takeState joins what changed at one store.
-func (k *storesKnown) takeState(state *wire.StoreState) {
+// applyState merges the changes of one store.
+func (k *storesState) applyState(state *wire.StoreState) {
 	if state.Gone {
 		delete(k.stores, state.Address)
 		delete(k.addresses, state.Number)
@@ -72,7 +72,7 @@
 	if k.stores == nil {
 		k.stores = map[string]keeping.StoreContents{}
 		k.addresses = map[uint32]string{}
-		k.parts = map[string]*partsKnown{}
+		k.parts = map[string]*storeParts{}
 	}
 	k.addresses[state.Number] = state.Address
 	next := k.stores[state.Address]
@@ -80,7 +80,7 @@
 	next.OpenEpoch = state.OpenEpoch
 	parts := k.parts[state.Address]
 	if state.Whole || parts == nil {
-		parts = &partsKnown{tokens: map[keeping.Part]int{}}
+		parts = &storeParts{tokens: map[keeping.Part]int{}}
 		k.parts[state.Address] = parts
 		next.Parts = nil
 	}
@@ -88,43 +88,43 @@
 	if len(state.Parts) == 0 {
 		return
 	}
-	parts.behind = true
-	if parts.join(state.Parts) || len(parts.tokens) >= len(next.Parts)+len(next.Parts)/shownStep {
-		k.show(state.Address, parts)
+	parts.stale = true
+	if parts.merge(state.Parts) || len(parts.tokens) >= len(next.Parts)+len(next.Parts)/copyGrowth {
+		k.snapshot(state.Address, parts)
 	}
 }
 
-// show lets others read all that is known of a store's parts. What they read is never written.
-func (k *storesKnown) show(address string, parts *partsKnown) {
-	kept := k.stores[address]
-	kept.Parts = maps.Clone(parts.tokens)
-	k.stores[address] = kept
-	parts.behind = false
+// snapshot replaces the copy of a store's parts that readers use. A copy is never modified.
+func (k *storesState) snapshot(address string, parts *storeParts) {
+	contents := k.stores[address]
+	contents.Parts = maps.Clone(parts.tokens)
+	k.stores[address] = contents
+	parts.stale = false
 }
 
-// join joins changes; it reports whether any part that was known is another now, or gone, which
-// others must know at once. New ones they may know late, at the price of a computation.
-func (p *partsKnown) join(changes []*wire.KeptPart) (others bool) {
+// merge merges changes. It reports whether any known part has changed or was removed, which readers
+// must see at once. New parts may be shown to them late, which costs them only a computation.
+func (p *storeParts) merge(changes []*wire.KeptPart) (knownChanged bool) {
 	for _, c := range changes {
 		part := keeping.Part{Salt: c.Salt, ID: c.Id}
 		before, known := p.tokens[part]
-		others = others || known && before != int(c.Tokens)
+		knownChanged = knownChanged || known && before != int(c.Tokens)
 		if c.Tokens == 0 {
 			delete(p.tokens, part)
 			continue
 		}
 		p.tokens[part] = int(c.Tokens)
 	}
-	return others
+	return knownChanged
 }
 
-// newestStores returns for each store what was told with the latest end.
-func newestStores(sources map[string]*knownSource) map[string]keeping.StoreContents {
+// newestStores returns, for each store, the contents with the latest Until.
+func newestStores(sources map[string]*sourceState) map[string]keeping.StoreContents {
 	out := map[string]keeping.StoreContents{}
 	for _, src := range sources {
-		for address, kept := range src.stores.stores {
-			if kept.Until > out[address].Until {
-				out[address] = kept
+		for address, contents := range src.stores.stores {
+			if contents.Until > out[address].Until {
+				out[address] = contents
 			}
 		}
 	}
--- a/internal/transport/fleet/liveness_test.go
+++ b/internal/transport/fleet/liveness_test.go
@@ -18,13 +18,14 @@
 	"github.com/shedrock/shedrock/internal/transport/fleet"
 )
 
-// startAll starts followers of some addresses, each with an order of its own.
+// startAll starts followers of some addresses, each of which tries the sources in a different
+// order.
 func startAll(t *testing.T, n int, addresses []string, decode func([]byte) (*deployment.Config, error)) []*fleet.Follower {
 	t.Helper()
 	var out []*fleet.Follower
 	for i := range n {
 		f := &fleet.Follower{
-			Name: fmt.Sprint("e", i), Entry: true, Heartbeat: heartbeat, Log: quiet,
+			Name: fmt.Sprint("e", i), Entry: true, Heartbeat: heartbeat, Log: discardLogger,
 			Seeds: func() []string { return addresses }, Decode: decode,
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -36,7 +37,7 @@
 	return out
 }
 
-func addressesOf(controls []*control) []string {
+func addressesOf(controls []*controlServer) []string {
 	var out []string
 	for _, c := range controls {
 		out = append(out, c.address())
@@ -44,21 +45,21 @@
 	return out
 }
 
-// A source that lags at a version which does not decode keeps nobody from the next one,
-// though about half of the followers ask it first.
+// A source that lags at a version that fails to decode must not keep followers from the next
+// version, although about half of them try it first.
 func TestLaggardWithUnreadableConfiguration(t *testing.T) {
 	controls := startControls(t, 2)
 	decode := func(text []byte) (*deployment.Config, error) {
 		if bytes.Equal(text, []byte("no text")) {
-			return nil, errors.New("not a text")
+			return nil, errors.New("not a configuration")
 		}
 		return decodeRoutes(text)
 	}
 	followers := startAll(t, 16, addressesOf(controls), decode)
 	publish(controls, 1, routesText(1, 20, 1))
-	mustHold(t, followers, 1)
+	waitInForce(t, followers, 1)
 	publish(controls, 2, []byte("no text"))
-	wait(t, "all have seen version 2", func() bool {
+	waitFor(t, "version 2 is known everywhere", func() bool {
 		for _, f := range followers {
 			if f.View().NewestConfigVersion < 2 {
 				return false
@@ -67,28 +68,28 @@
 		return true
 	})
 	publish(controls[1:], 3, routesText(3, 20, 1))
-	mustHold(t, followers, 3)
+	waitInForce(t, followers, 3)
 }
 
-// When the source that told what a version consists of is gone, and others cut that version
-// otherwise, as another release may, followers take it from them.
-func TestOtherSourcesCutOtherwise(t *testing.T) {
+// If the source that sent the manifest of a version is gone, and others split that version
+// differently, as another release may, followers must fetch it from those.
+func TestSourcesSplitConfigurationDifferently(t *testing.T) {
 	controls := startControls(t, 2)
-	text := routesText(1, 2*routesSeen, 1)
+	text := routesText(1, 2*observedRoutes, 1)
 	publish(controls[:1], 1, text)
 	followers := startEntries(t, 1, controls)
-	wait(t, "some of it has come", func() bool { return controls[0].texts.Load() > 2 })
-	controls[0].mute.Store(true)
+	waitFor(t, "some pieces were requested", func() bool { return controls[0].textRequests.Load() > 2 })
+	controls[0].unresponsive.Store(true)
 	controls[0].server.CloseClientConnections()
-	// Another text stands for another cut.
-	publish(controls[1:], 1, routesText(1, routesSeen, 9))
-	wait(t, "it is in force", func() bool { return followers[0].View().Config != nil })
+	// A different text stands for a different split.
+	publish(controls[1:], 1, routesText(1, observedRoutes, 9))
+	waitFor(t, "the configuration is in force", func() bool { return followers[0].View().Config != nil })
 }
 
-// An answer that was formed before a source told of a newer version does not hide that one.
-func TestLateAnswerHidesNoNewerVersion(t *testing.T) {
+// An answer that was made before a source announced a newer version must not hide that version.
+func TestLateAnswerKeepsNewerVersion(t *testing.T) {
 	const late = 300 * time.Millisecond
-	source := fleet.NewSource(t.Context(), heartbeat, quiet)
+	source := fleet.NewSource(t.Context(), heartbeat, discardLogger)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		out := httptest.NewRecorder()
 		wire.NewFleetServer(source).ServeHTTP(out, r)
@@ -103,14 +104,14 @@
 	}))
 	t.Cleanup(server.Close)
 	followers := startAll(t, 1, []string{strings.TrimPrefix(server.URL, "http://")}, decodeRoutes)
-	wait(t, "the source is polled", func() bool { return len(followers[0].View().Control) > 0 })
+	waitFor(t, "the source is polled", func() bool { return len(followers[0].View().Control) > 0 })
 	source.Publish(ledger.Installed{Version: 1, Text: routesText(1, 20, 1)}, nil)
-	wait(t, "version 1 is told of", func() bool { return followers[0].View().NewestConfigVersion == 1 })
+	waitFor(t, "version 1 is announced", func() bool { return followers[0].View().NewestConfigVersion == 1 })
 	<-time.After(late / 4)
 	source.Publish(ledger.Installed{Version: 2, Text: routesText(2, 20, 1)}, nil)
 	began := time.Now()
-	wait(t, "version 2 is in force", func() bool { c := followers[0].View().Config; return c != nil && c.Version == 2 })
+	waitFor(t, "version 2 is in force", func() bool { c := followers[0].View().Config; return c != nil && c.Version == 2 })
 	if took := time.Since(began); took > 3*late {
-		t.Errorf("in force after %s, two answers take %s", took, 2*late)
+		t.Errorf("in force after %s, but two answers take only %s", took, 2*late)
 	}
 }
--- a/internal/transport/fleet/loads.go
+++ b/internal/transport/fleet/loads.go
@@ -13,22 +13,22 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// blockTokens is the unit in which engines' memory is told: engines give it in such blocks, and
-// an entry is told of each engine some times a second.
+// blockTokens is the unit in which engines' memory use is sent to entries: engines report it in
+// such blocks, and each entry receives that of each engine several times a second.
 const blockTokens = 16
 
-// loadsFeed is what a Source tells of engines' loads. The zero value knows none.
+// loadsFeed is what a Source publishes about engines' loads. The zero value is an empty feed.
 type loadsFeed struct {
 	loads map[registry.Incarnation]balance.EngineLoad
-	// engines are those of loads in the order in which they are told.
+	// engines holds the keys of loads in the order in which they are sent.
 	engines []registry.Incarnation
 	// change numbers the changes of loads, and enginesChange those of engines.
 	change, enginesChange uint64
-	// interval is how often engines are asked.
+	// interval is the interval at which engines are polled.
 	interval time.Duration
 }
 
-// publish reports whether anything changed.
+// publish sets the loads and reports whether they changed.
 func (f *loadsFeed) publish(loads map[registry.Incarnation]balance.EngineLoad, interval time.Duration) bool {
 	f.interval = interval
 	if maps.Equal(f.loads, loads) {
@@ -46,8 +46,8 @@
 	return true
 }
 
-// tell adds the loads, all at once, and the engines to those who do not know them.
-func (f *loadsFeed) tell(since marks, p *page, out *wire.FleetResponse) {
+// addTo adds all loads, and the list of engines for a poller that does not have it.
+func (f *loadsFeed) addTo(since cursors, p *page, out *wire.FleetResponse) {
 	out.LoadsChange = f.change
 	out.EnginesChange = f.enginesChange
 	out.LoadsIntervalMilliseconds = uint32(f.interval.Milliseconds())
@@ -62,24 +62,25 @@
 	p.left -= proto.Size(&wire.FleetResponse{Engines: out.Engines, Waiting: out.Waiting, UsedBlocks: out.UsedBlocks})
 }
 
-// loadsKnown is what one source told of engines' loads. The zero value knows nothing.
-type loadsKnown struct {
+// loadsState is what one source has sent about engines' loads. The zero value is empty.
+type loadsState struct {
 	loads map[registry.Incarnation]balance.EngineLoad
-	// engines are in the order in which the source tells them.
+	// engines is in the order in which the source sends the loads.
 	engines []registry.Incarnation
-	// change and enginesChange are the marks of the last answer, and at is when loads were told.
+	// change and enginesChange are the cursors of the last answer, and at is when loads were
+	// received.
 	change, enginesChange uint64
 	at                    time.Time
 	interval              time.Duration
 }
 
-// take joins what a source tells; began says that it is another life of it.
-func (k *loadsKnown) take(out *wire.FleetResponse, began bool, now time.Time) {
-	if out.EnginesChange != k.enginesChange || began {
+// apply merges a source's answer; restarted is true if the source has restarted since its last one.
+func (k *loadsState) apply(out *wire.FleetResponse, restarted bool, now time.Time) {
+	if out.EnginesChange != k.enginesChange || restarted {
 		k.engines = toIncarnations(out.Engines)
 	}
 	k.enginesChange = out.EnginesChange
-	if out.LoadsChange != k.change || began {
+	if out.LoadsChange != k.change || restarted {
 		k.loads = toLoads(k.engines, out)
 		k.at = now
 	}
@@ -87,7 +88,7 @@
 	k.interval = time.Duration(out.LoadsIntervalMilliseconds) * time.Millisecond
 }
 
-// toLoads reads the loads of some engines; what tells of others is passed over.
+// toLoads converts the loads of the given engines; surplus values are ignored.
 func toLoads(engines []registry.Incarnation, out *wire.FleetResponse) map[registry.Incarnation]balance.EngineLoad {
 	loads := make(map[registry.Incarnation]balance.EngineLoad, len(engines))
 	for i, in := range engines {
--- a/internal/transport/fleet/memory.go
+++ b/internal/transport/fleet/memory.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// rememberInterval is how often what instances reported is written down, if anything
-	// changed: heartbeats that repeat the last one change nothing.
-	rememberInterval = 500 * time.Millisecond
-	// recalledBeats is for how many heartbeats an instance that was written down counts
-	// before it reports itself: until then, entries that start would have none.
-	recalledBeats = 2
+	// persistInterval is how often the instances' reports are written to the file, if they have
+	// changed: a heartbeat that repeats the last one is no change.
+	persistInterval = 500 * time.Millisecond
+	// restoredHeartbeats is the number of heartbeat intervals for which a restored instance counts
+	// as live before it reports itself. Without that, entries that start would have no instances.
+	restoredHeartbeats = 2
 )
 
-// Persist takes up the instances that were written to a file in an earlier life, and keeps
-// it up to date until ctx ends. The file is no promise: without it, or with an old one, the
-// instances are known again when they report, a heartbeat later.
+// Persist restores the instances from a file written before a restart, and keeps the file up to
+// date until ctx ends. Nothing depends on the file: if it is missing or outdated, the instances are
+// known again when they report, one heartbeat later.
 func (s *Source) Persist(ctx context.Context, path string) {
-	s.recall(path)
+	s.restore(path)
 	go func() {
-		ticker := time.NewTicker(rememberInterval)
+		ticker := time.NewTicker(persistInterval)
 		defer ticker.Stop()
 		written, failed := uint64(0), false
 		for {
@@ -36,7 +36,7 @@
 			case <-ctx.Done():
 				return
 			}
-			change, text := s.memory(written)
+			change, text := s.encodeState(written)
 			if text == nil {
 				continue
 			}
@@ -44,14 +44,15 @@
 			if err == nil {
 				written = change
 			}
-			s.noteMemory(err, failed)
+			s.logPersistence(err, failed)
 			failed = err != nil
 		}
 	}()
 }
 
-// memory returns what is to be written, or nil when nothing changed since a change.
-func (s *Source) memory(written uint64) (change uint64, text []byte) {
+// encodeState returns the state to be written, or nil if it has not changed since the change
+// written.
+func (s *Source) encodeState(written uint64) (change uint64, text []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change = s.registry.Change() + s.facts.Change()
@@ -67,14 +68,14 @@
 	}
 	text, err := proto.Marshal(out)
 	if err != nil {
-		panic("fleet: reports failed to encode: " + err.Error())
+		panic("fleet: encode state: " + err.Error())
 	}
 	return change, text
 }
 
-// noteMemory logs when writing begins to fail, and when it works again; failed is how the last
-// one went.
-func (s *Source) noteMemory(err error, failed bool) {
+// logPersistence logs when writing starts to fail, and when it succeeds again; failed is whether
+// the last write failed.
+func (s *Source) logPersistence(err error, failed bool) {
 	if (err != nil) == failed {
 		return
 	}
@@ -85,8 +86,8 @@
 	s.log.Info().Str("event", "instances_written").Msg("")
 }
 
-// recall takes up what was written.
-func (s *Source) recall(path string) {
+// restore restores the state from a file.
+func (s *Source) restore(path string) {
 	text, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
 		return
@@ -102,13 +103,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	s.recalledEntries, s.recalledAt = int(in.Entries), now
+	s.restoredEntries, s.restoredAt = int(in.Entries), now
 	for _, r := range in.Instances {
-		s.registry.Restore(toReport(r, "", now), now, recalledBeats*s.heartbeat)
+		s.registry.Restore(toReport(r, "", now), now, restoredHeartbeats*s.heartbeat)
 	}
 	for _, f := range wire.ToFacts(in.Facts, now) {
 		s.facts.Merge(f)
 	}
-	s.wake()
+	s.notifyNow()
 	s.log.Info().Str("event", "instances_recalled").Int("instances", len(in.Instances)).Msg("")
 }
--- a/internal/transport/fleet/memory_test.go
+++ b/internal/transport/fleet/memory_test.go
@@ -15,9 +15,9 @@
 	"github.com/shedrock/shedrock/internal/transport/fleet"
 )
 
-// A source that lost power knows the instances again at once, also one that is about to leave;
-// those that do not report soon are gone sooner than if they had just been heard.
-func TestInstancesAreRemembered(t *testing.T) {
+// A source that lost power must know the instances again at once, including one that is leaving.
+// Those that do not report soon must become silent sooner than after a heartbeat.
+func TestInstancesArePersisted(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "instances")
 	live := func(id string, leaving bool) registry.Instance {
 		in := instance(id, 5)
@@ -25,15 +25,15 @@
 		return in
 	}
 	life, end := context.WithCancel(t.Context())
-	first := fleet.NewSource(life, heartbeat, quiet)
+	first := fleet.NewSource(life, heartbeat, discardLogger)
 	first.Persist(life, path)
 	first.RecordHeartbeat(live("x", false))
 	first.RecordHeartbeat(live("y", true))
-	wait(t, "it is written", func() bool { _, err := os.Stat(path); return err == nil })
+	waitFor(t, "the file is written", func() bool { _, err := os.Stat(path); return err == nil })
 	end()
-	next := fleet.NewSource(t.Context(), heartbeat, quiet)
+	next := fleet.NewSource(t.Context(), heartbeat, discardLogger)
 	next.Persist(t.Context(), path)
-	told := func(since *wire.FleetResponse) (*wire.FleetResponse, map[string]string) {
+	ask := func(since *wire.FleetResponse) (*wire.FleetResponse, map[string]string) {
 		out, err := next.Watch(t.Context(), &wire.FleetRequest{Epoch: since.GetEpoch(), Change: since.GetChange(), WaitMilliseconds: 5000})
 		if err != nil {
 			t.Fatal(err)
@@ -45,18 +45,18 @@
 		return out, got
 	}
 	began := time.Now()
-	out, got := told(nil)
+	out, got := ask(nil)
 	if diff := cmp.Diff(map[string]string{"x": "false false", "y": "true false"}, got); diff != "" {
 		t.Error(diff)
 	}
-	_, got = told(out)
+	_, got = ask(out)
 	if diff := cmp.Diff(map[string]string{"x": "false true", "y": "true true"}, got); diff != "" {
 		t.Error(diff)
 	}
 	if took := time.Since(began); took > 4*heartbeat {
-		t.Errorf("gone after %s", took)
+		t.Errorf("silent only after %s", took)
 	}
 	next.Persist(t.Context(), filepath.Join(t.TempDir(), "none"))
 	_ = os.WriteFile(path, []byte("no reports"), 0o600)
-	fleet.NewSource(t.Context(), heartbeat, quiet).Persist(t.Context(), path)
+	fleet.NewSource(t.Context(), heartbeat, discardLogger).Persist(t.Context(), path)
 }
--- a/internal/transport/fleet/named.go
+++ b/internal/transport/fleet/named.go
@@ -9,25 +9,26 @@
 	"github.com/shedrock/shedrock/internal/state/weights"
 )
 
-// OldWeightsGrace returns for how long requests may begin on old weights by this view, at a time and
-// when a bound is declared.
-func (v *View) OldWeightsGrace(bound time.Duration, now time.Time) weights.GracePolicy {
-	return weights.GracePolicy{Period: bound, LastUnreachable: v.Contact.LastUnreachable, Unreachable: v.Contact.Unreachable(now)}
+// OldWeightsGrace returns the grace period in which requests may still begin on old weights,
+// according to this view at the time now; period is the configured duration.
+func (v *View) OldWeightsGrace(period time.Duration, now time.Time) weights.GracePolicy {
+	return weights.GracePolicy{Period: period, LastUnreachable: v.Contact.LastUnreachable, Unreachable: v.Contact.Unreachable(now)}
 }
 
-// newestOf returns the newest version of each model.
-func newestOf(named map[string]weights.History) map[string]uint64 {
-	out := make(map[string]uint64, len(named))
-	for model, h := range named {
+// newestVersions returns the newest version of each model.
+func newestVersions(histories map[string]weights.History) map[string]uint64 {
+	out := make(map[string]uint64, len(histories))
+	for model, h := range histories {
 		out[model] = h.Newest()
 	}
 	return out
 }
 
-// dueOf returns the version of each model that is required for certain.
-func dueOf(named map[string]weights.History) map[string]uint64 {
+// enforcedVersions returns the version of each model for which the grace period of older versions
+// is certainly over.
+func enforcedVersions(histories map[string]weights.History) map[string]uint64 {
 	out := map[string]uint64{}
-	for model, h := range named {
+	for model, h := range histories {
 		if h.Enforced() > 0 {
 			out[model] = h.Enforced()
 		}
@@ -35,37 +36,37 @@
 	return out
 }
 
-// fromNamed lists the namings of each model, with their ages.
-func fromNamed(named map[string]weights.History, now time.Time) []*wire.WeightNaming {
+// fromHistories lists the announced versions of each model, with the ages of the announcements.
+func fromHistories(histories map[string]weights.History, now time.Time) []*wire.WeightNaming {
 	var out []*wire.WeightNaming
-	for _, model := range slices.Sorted(maps.Keys(named)) {
-		for _, n := range named[model].Announcements() {
+	for _, model := range slices.Sorted(maps.Keys(histories)) {
+		for _, n := range histories[model].Announcements() {
 			out = append(out, &wire.WeightNaming{Model: model, Version: n.Version, AgeMilliseconds: uint64(now.Sub(n.At).Milliseconds())})
 		}
 	}
 	return out
 }
 
-// takeNamed joins what a source knows of the versions of weights that were named; mu must be
-// held. One that does not tell when counts as if it had just heard of them.
-func (f *Follower) takeNamed(address string, out *wire.FleetResponse, now time.Time) {
+// applyAnnouncements merges the announced weight versions in a source's answer; mu must be held. A
+// version without the age of its announcement counts as announced now.
+func (f *Follower) applyAnnouncements(address string, out *wire.FleetResponse, now time.Time) {
 	for _, n := range out.Named {
-		f.name(address, n.Model, weights.Announcement{Version: n.Version, At: before(now, n.AgeMilliseconds)}, now)
+		f.applyAnnouncement(address, n.Model, weights.Announcement{Version: n.Version, At: ago(now, n.AgeMilliseconds)}, now)
 	}
 	for _, w := range out.Due {
-		f.named[w.Model] = f.named[w.Model].Enforce(w.Version)
+		f.weightHistories[w.Model] = f.weightHistories[w.Model].Enforce(w.Version)
 	}
 	for _, w := range out.Weights {
-		if w.Version > f.named[w.Model].Newest() {
-			f.name(address, w.Model, weights.Announcement{Version: w.Version, At: now}, now)
+		if w.Version > f.weightHistories[w.Model].Newest() {
+			f.applyAnnouncement(address, w.Model, weights.Announcement{Version: w.Version, At: now}, now)
 		}
 	}
 }
 
-// name takes one naming; mu must be held.
-func (f *Follower) name(address, model string, n weights.Announcement, now time.Time) {
-	known := f.named[model]
-	f.named[model] = known.Announce(n)
+// applyAnnouncement merges one announced version; mu must be held.
+func (f *Follower) applyAnnouncement(address, model string, n weights.Announcement, now time.Time) {
+	known := f.weightHistories[model]
+	f.weightHistories[model] = known.Announce(n)
 	if n.Version > known.Newest() {
 		f.Log.Info().Str("event", "weights_named").Str("model", model).Uint64("version", n.Version).Str("from", address).Dur("age_ms", now.Sub(n.At)).Msg("")
 	}
--- a/internal/transport/fleet/page.go
+++ b/internal/transport/fleet/page.go
@@ -5,51 +5,51 @@
 	"math"
 )
 
-// answerBytes is about how much of what a watcher lacks one answer holds. The answers of 8
-// control instances at once take 0.42 s on an entry's link of 10 Mbit/s, a fifth of
-// pollTimeout; what comes later is thrown away and asked for again.
-const answerBytes = 64 << 10
+// maxAnswerBytes is the approximate maximum size of one answer. The answers of 8 control instances
+// at once take 0.42 s on an entry's link of 10 Mbit/s, a fifth of pollTimeout; an answer that comes
+// after that is discarded and requested again.
+const maxAnswerBytes = 64 << 10
 
-// progress is how far a watcher was told of numbered changes: all those up to change, but
-// none up to backlog. News goes before the backlog, of which the newest goes first, so that a
-// watcher with much to learn hears at once of what changes meanwhile. What is in the backlog
-// and changes is news.
-type progress struct{ change, backlog uint64 }
+// cursor is a poller's position in a sequence of numbered changes: it has received all changes up
+// to change, but none up to backlog. New changes are sent before the backlog, and the backlog
+// newest first, so that a poller that is catching up learns of new changes at once. An item in the
+// backlog that changes becomes a new change.
+type cursor struct{ change, backlog uint64 }
 
-// anew is the progress of a watcher that knows nothing, while last is the newest change.
-func anew(last uint64) progress { return progress{change: last, backlog: last} }
+// resyncFrom returns the cursor of a poller that knows nothing, where last is the newest change.
+func resyncFrom(last uint64) cursor { return cursor{change: last, backlog: last} }
 
-// page counts what goes into one answer.
+// page tracks the size of one answer.
 type page struct {
-	// left is how many bytes may still be added; the last item may take more.
+	// left is the number of bytes that may still be added. The last item may exceed it.
 	left int
-	// more is true once something had to be left out.
+	// more is true if something had to be left out.
 	more bool
 }
 
-// newPage returns an empty page, which has no bound for a watcher that can't ask for the rest.
+// newPage returns an empty page. It is unlimited for a poller that cannot request the rest.
 func newPage(bounded bool) *page {
 	if bounded {
-		return &page{left: answerBytes}
+		return &page{left: maxAnswerBytes}
 	}
 	return &page{left: math.MaxInt}
 }
 
-// addNews adds changes behind a mark in their order, with add, which returns their bytes. It
-// returns the mark behind them; last is the newest change of all.
-func addNews[K any](p *page, changes iter.Seq2[uint64, K], mark, last uint64, add func(K) int) uint64 {
+// addChanges adds the changes after a position in their order, with add, which returns their size
+// in bytes. It returns the new position; last is the newest change of all.
+func addChanges[K any](p *page, changes iter.Seq2[uint64, K], position, last uint64, add func(K) int) uint64 {
 	for number, item := range changes {
 		if p.left <= 0 {
 			p.more = true
-			return mark
+			return position
 		}
 		p.left -= add(item)
-		mark = number
+		position = number
 	}
 	return last
 }
 
-// addBacklog adds changes of the backlog, the newest first, and returns what is left of it.
+// addBacklog adds the changes of the backlog, newest first, and returns the remaining backlog.
 func addBacklog[K any](p *page, changes iter.Seq2[uint64, K], add func(K) int) uint64 {
 	for number, item := range changes {
 		if p.left <= 0 {
--- a/internal/transport/fleet/size_test.go
+++ b/internal/transport/fleet/size_test.go
@@ -18,35 +18,36 @@
 	"github.com/shedrock/shedrock/internal/transport/fleet"
 )
 
-// What was seen: a configuration had grown to 555 KB, and later to 825 KB. It was acknowledged,
-// but 56 entries with links of 10 Mbit/s kept serving by the one before it, and after a restart
-// of everything they had none and were never ready.
+// These tests guard against configurations that are too large to come in force. When a
+// configuration had grown to 555 KB, and later to 825 KB, it was acknowledged, but 56 entries on
+// links of 10 Mbit/s kept serving by the previous one, and after a restart of the whole fleet they
+// had none and never became ready.
 //
-// How it came about: an entry asked one control instance for the whole text and gave up after
-// 400 ms, in which such a link carries 500 KB. It threw away what had come and asked the next
-// one, so the text never came in force, at any pace, and the links were full for as long as it
-// was tried: other traffic was late too.
+// An entry requested the whole text from one control instance and gave up after 400 ms, in which
+// such a link carries 500 KB. It discarded what it had received and tried the next control
+// instance. The text thus never came in force, however long this went on, and the attempts
+// saturated the links, which delayed other traffic too.
 //
-// What proved it: all but 5 of 1,456 failed attempts ended while the body was read; the links of the
-// entries were full from the first attempt on (1.0 to 1.2 MB/s), while entries used 1% of their
-// processor and control instances at most 22%; versions of 285 KB came in force, those of 555
+// The evidence: all but 5 of 1,456 failed attempts ended while the body was being read. The links
+// of the entries were saturated from the first attempt on (1.0 to 1.2 MB/s), while entries used 1%
+// of their CPU and control instances at most 22%. Versions of 285 KB came in force, those of 555
 // and 825 KB nowhere.
 
 const (
-	// linkRate is that of an entry's link in bytes a second: 10 Mbit/s.
+	// linkRate is the rate of an entry's link in bytes per second: 10 Mbit/s.
 	linkRate = 10_000_000 / 8
-	// routesSeen is how many routes the configuration had.
-	routesSeen = 4200
-	// entriesSeen and controlSeen are how many processes there were.
-	entriesSeen, controlSeen = 56, 8
-	// inForceWithin is how long a change may take until it is in force. The race detector slows
-	// what is tested here, so the tests are run without it as well.
+	// observedRoutes is the number of routes in that configuration.
+	observedRoutes = 4200
+	// observedEntries and observedControls are the numbers of processes in that deployment.
+	observedEntries, observedControls = 56, 8
+	// inForceWithin is the time within which a change must come in force. The race detector slows
+	// the code under test, so the tests are run without it as well.
 	inForceWithin = slowdown * 2500 * time.Millisecond
 )
 
-// slowLink returns the addresses of proxies before some control instances, which share one
-// link of linkRate towards the caller.
-func slowLink(t *testing.T, controls []*control) []string {
+// slowLink returns the addresses of proxies of some control instances. The proxies share one link
+// of linkRate towards the caller.
+func slowLink(t *testing.T, controls []*controlServer) []string {
 	t.Helper()
 	const burst = 16 << 10
 	limit := rate.NewLimiter(linkRate, burst)
@@ -64,15 +65,16 @@
 				if err != nil {
 					return
 				}
-				go carry(t.Context(), caller, c.address(), limit)
+				go proxy(t.Context(), caller, c.address(), limit)
 			}
 		}()
 	}
 	return addresses
 }
 
-// carry joins a connection to an address until either side ends; limit bounds what comes back.
-func carry(ctx context.Context, caller net.Conn, address string, limit *rate.Limiter) {
+// proxy forwards a connection to an address until either side closes it; limit is the rate limit
+// towards the caller.
+func proxy(ctx context.Context, caller net.Conn, address string, limit *rate.Limiter) {
 	defer func() { _ = caller.Close() }()
 	source, err := net.Dial("tcp", address)
 	if err != nil {
@@ -100,18 +102,18 @@
 		if err != nil || limit.WaitN(ctx, n) != nil {
 			return
 		}
-		carried.Add(int64(n))
+		proxiedBytes.Add(int64(n))
 		if _, err := caller.Write(buffer[:n]); err != nil {
 			return
 		}
 	}
 }
 
-// carried counts the bytes that came over slow links.
-var carried atomic.Int64
+// proxiedBytes counts the bytes received over slow links.
+var proxiedBytes atomic.Int64
 
-// routesText is a configuration's text of so many routes, in the shape that operators send;
-// the version stands at its head, the names are drawn from the seed.
+// routesText returns a configuration's text with the given number of routes, in the form that
+// operators send. It starts with the version; the names are generated from the seed.
 func routesText(version uint64, routes int, seed uint64) []byte {
 	draw := rand.New(rand.NewPCG(seed, 1))
 	out := &bytes.Buffer{}
@@ -127,24 +129,24 @@
 	return out.Bytes()
 }
 
-// decodeRoutes reads the version of a text of routesText, which must be whole.
+// decodeRoutes decodes the version of a text of routesText, and fails unless the text is complete.
 func decodeRoutes(text []byte) (*deployment.Config, error) {
 	var version uint64
 	_, err := fmt.Sscanf(string(text[:min(len(text), 40)]), `{"version":%d,`, &version)
 	if err != nil || !bytes.HasSuffix(text, []byte("]}")) {
-		return nil, errors.Errorf("not a whole text: %v", err)
+		return nil, errors.Errorf("incomplete text: %v", err)
 	}
 	return &deployment.Config{Version: version}, nil
 }
 
-// startEntries starts entries, each behind a slow link of its own.
-func startEntries(t *testing.T, n int, controls []*control) []*fleet.Follower {
+// startEntries starts entries, each with a slow link of its own.
+func startEntries(t *testing.T, n int, controls []*controlServer) []*fleet.Follower {
 	t.Helper()
 	var followers []*fleet.Follower
 	for i := range n {
 		addresses := slowLink(t, controls)
 		f := &fleet.Follower{
-			Name: fmt.Sprint("e", i), Entry: true, Heartbeat: heartbeat, Log: quiet,
+			Name: fmt.Sprint("e", i), Entry: true, Heartbeat: heartbeat, Log: discardLogger,
 			Seeds: func() []string { return addresses }, Decode: decodeRoutes,
 		}
 		followers = append(followers, f)
@@ -156,29 +158,29 @@
 	return followers
 }
 
-func startControls(t *testing.T, n int) []*control {
+func startControls(t *testing.T, n int) []*controlServer {
 	t.Helper()
-	var controls []*control
+	var controls []*controlServer
 	for range n {
 		controls = append(controls, newControl(t))
 	}
 	return controls
 }
 
-// linkBytes returns how many bytes came over all slow links since the last call.
-func linkBytes() int64 { return carried.Swap(0) }
+// takeProxiedBytes returns the number of bytes received over all slow links since the last call.
+func takeProxiedBytes() int64 { return proxiedBytes.Swap(0) }
 
-func publish(controls []*control, version uint64, text []byte) {
+func publish(controls []*controlServer, version uint64, text []byte) {
 	for _, c := range controls {
 		c.source.Load().Publish(ledger.Installed{Version: version, Text: text}, nil)
 	}
 }
 
-// mustHold fails unless a version is in force at all followers in time.
-func mustHold(t *testing.T, followers []*fleet.Follower, version uint64) {
+// waitInForce fails unless a version comes in force at all followers in time.
+func waitInForce(t *testing.T, followers []*fleet.Follower, version uint64) {
 	t.Helper()
 	began := time.Now()
-	wait(t, fmt.Sprintf("version %d is in force everywhere", version), func() bool {
+	waitFor(t, fmt.Sprintf("version %d is in force everywhere", version), func() bool {
 		for _, f := range followers {
 			if c := f.View().Config; c == nil || c.Version < version {
 				return false
@@ -193,55 +195,56 @@
 	}
 }
 
-// A configuration comes in force in time however large it has grown, and so does each small
+// A configuration must come in force in time however large it has grown, and so must each small
 // change of it.
 func TestLargeConfigurationIsInForceInTime(t *testing.T) {
-	for _, test := range []struct{ times, entries int }{{1, entriesSeen}, {2, entriesSeen}, {10, 4}} {
-		t.Run(fmt.Sprintf("%d times the size seen", test.times), func(t *testing.T) {
-			controls := startControls(t, controlSeen)
+	for _, test := range []struct{ times, entries int }{{1, observedEntries}, {2, observedEntries}, {10, 4}} {
+		t.Run(fmt.Sprintf("%d times the observed size", test.times), func(t *testing.T) {
+			controls := startControls(t, observedControls)
 			followers := startEntries(t, test.entries, controls)
 			publish(controls, 1, routesText(1, 20, 1))
-			mustHold(t, followers, 1)
-			routes := test.times * routesSeen
+			waitInForce(t, followers, 1)
+			routes := test.times * observedRoutes
 			publish(controls, 2, routesText(2, routes, 1))
-			mustHold(t, followers, 2)
+			waitInForce(t, followers, 2)
 			publish(controls, 3, routesText(3, routes, 1))
-			mustHold(t, followers, 3)
+			waitInForce(t, followers, 3)
 		})
 	}
 }
 
-// After a restart of everything all entries ask for a large configuration at once, and all of
-// them have it in time.
+// After a restart of the whole fleet, all entries request a large configuration at once, and all
+// must have it in time.
 func TestAllEntriesStartWithALargeConfiguration(t *testing.T) {
-	for _, test := range []struct{ times, entries int }{{1, entriesSeen}, {2, 2 * entriesSeen}, {10, 4}} {
-		t.Run(fmt.Sprintf("%d times the size seen, %d entries", test.times, test.entries), func(t *testing.T) {
-			controls := startControls(t, controlSeen)
-			publish(controls, 1, routesText(1, test.times*routesSeen, 1))
-			mustHold(t, startEntries(t, test.entries, controls), 1)
+	for _, test := range []struct{ times, entries int }{{1, observedEntries}, {2, 2 * observedEntries}, {10, 4}} {
+		t.Run(fmt.Sprintf("%d times the observed size, %d entries", test.times, test.entries), func(t *testing.T) {
+			controls := startControls(t, observedControls)
+			publish(controls, 1, routesText(1, test.times*observedRoutes, 1))
+			waitInForce(t, startEntries(t, test.entries, controls), 1)
 		})
 	}
 }
 
-// A small change of a large configuration moves little, to entries that have the one before.
+// A small change of a large configuration must cause little traffic to entries that have the
+// previous version.
 func TestSmallChangeOfALargeConfigurationMovesLittle(t *testing.T) {
 	const mostBytes = 64 << 10
 	controls := startControls(t, 3)
 	followers := startEntries(t, 1, controls)
-	publish(controls, 1, routesText(1, routesSeen, 1))
-	mustHold(t, followers, 1)
-	linkBytes()
-	publish(controls, 2, routesText(2, routesSeen, 1))
-	mustHold(t, followers, 2)
-	if moved := linkBytes(); moved > mostBytes {
-		t.Errorf("%d bytes were moved", moved)
+	publish(controls, 1, routesText(1, observedRoutes, 1))
+	waitInForce(t, followers, 1)
+	takeProxiedBytes()
+	publish(controls, 2, routesText(2, observedRoutes, 1))
+	waitInForce(t, followers, 2)
+	if moved := takeProxiedBytes(); moved > mostBytes {
+		t.Errorf("%d bytes were transferred", moved)
 	}
 }
 
-// What an entry has fetched counts also when its link carries far less than the text in the
-// time of one question, when the text does not pack, and when sources fail in between: no
-// piece is fetched often.
-func TestFetchedPiecesCount(t *testing.T) {
+// Fetched pieces must be kept even if the link carries far less than the whole text within one
+// request's timeout, if the text does not compress, and if sources fail in between: hardly any
+// piece may be fetched twice.
+func TestFetchedPiecesAreKept(t *testing.T) {
 	noise := make([]byte, 3<<20)
 	source := rand.New(rand.NewPCG(7, 7))
 	for i := range noise {
@@ -250,57 +253,58 @@
 	text := fmt.Appendf(nil, `{"version":1,"noise":"%s"]}`, noise)
 	controls := startControls(t, 4)
 	publish(controls, 1, text)
-	linkBytes()
+	takeProxiedBytes()
 	followers := startEntries(t, 1, controls)
-	wait(t, "half of it has come", func() bool { return carried.Load() > int64(len(noise)/2) })
-	controls[0].mute.Store(true)
+	waitFor(t, "half of the text was received", func() bool { return proxiedBytes.Load() > int64(len(noise)/2) })
+	controls[0].unresponsive.Store(true)
 	controls[1].server.CloseClientConnections()
-	controls[1].mute.Store(true)
-	wait(t, "it is in force", func() bool { return followers[0].View().Config != nil })
-	// A quarter is for what broke off, up to 64 KB each time, and for all else that is said.
-	if moved := linkBytes(); moved > int64(len(text))*5/4 {
-		t.Errorf("%d bytes were moved for a text of %d", moved, len(text))
+	controls[1].unresponsive.Store(true)
+	waitFor(t, "the configuration is in force", func() bool { return followers[0].View().Config != nil })
+	// The extra quarter allows for aborted answers, of up to 64 KB each, and for all other traffic.
+	if moved := takeProxiedBytes(); moved > int64(len(text))*5/4 {
+		t.Errorf("%d bytes were transferred for a text of %d bytes", moved, len(text))
 	}
 }
 
-// All sources give the text when all entries ask at once, and not only the one that told of it
-// first.
+// When all entries fetch at once, all sources must send the text, not only the one that announced
+// it first.
 func TestAllSourcesGiveALargeConfiguration(t *testing.T) {
 	controls := startControls(t, 4)
 	followers := startEntries(t, 96, controls)
 	publish(controls, 1, routesText(1, 20, 1))
-	mustHold(t, followers, 1)
+	waitInForce(t, followers, 1)
 	for _, c := range controls {
-		c.texts.Store(0)
+		c.textRequests.Store(0)
 	}
-	publish(controls, 2, routesText(2, routesSeen, 1))
-	mustHold(t, followers, 2)
+	publish(controls, 2, routesText(2, observedRoutes, 1))
+	waitInForce(t, followers, 2)
 	total := int64(0)
 	for _, c := range controls {
-		total += c.texts.Load()
+		total += c.textRequests.Load()
 	}
 	for i, c := range controls {
-		if n := c.texts.Load(); n < total/16 || n > total/2 {
-			t.Errorf("source %d was asked %d times of %d", i, n, total)
+		if n := c.textRequests.Load(); n < total/16 || n > total/2 {
+			t.Errorf("source %d received %d of %d requests", i, n, total)
 		}
 	}
 }
 
-// A version that does not decode is not fetched again and again, and the one before stays.
-func TestUnreadableConfigurationIsLeftAlone(t *testing.T) {
+// A version that fails to decode must not be fetched again and again, and the previous one must
+// stay in force.
+func TestUndecodableConfigurationIsNotRefetched(t *testing.T) {
 	controls := startControls(t, 2)
 	followers := startEntries(t, 1, controls)
 	publish(controls, 1, routesText(1, 20, 1))
-	mustHold(t, followers, 1)
-	asked := func() int64 { return controls[0].texts.Load() + controls[1].texts.Load() }
-	before := asked()
+	waitInForce(t, followers, 1)
+	requests := func() int64 { return controls[0].textRequests.Load() + controls[1].textRequests.Load() }
+	before := requests()
 	publish(controls, 2, []byte("no text"))
-	wait(t, "it was asked for", func() bool { return asked() > before })
+	waitFor(t, "version 2 was requested", func() bool { return requests() > before })
 	polls := controls[0].polls.Load()
-	wait(t, "polls go on", func() bool { return controls[0].polls.Load() > polls+1 })
-	if n := asked() - before; n > 4 {
-		t.Errorf("asked for %d times", n)
+	waitFor(t, "polls continue", func() bool { return controls[0].polls.Load() > polls+1 })
+	if n := requests() - before; n > 4 {
+		t.Errorf("requested %d times", n)
 	}
 	publish(controls, 3, routesText(3, 20, 1))
-	mustHold(t, followers, 3)
+	waitInForce(t, followers, 3)
 }
--- a/internal/transport/fleet/source.go
+++ b/internal/transport/fleet/source.go
@@ -1,10 +1,10 @@
-// Package fleet spreads what entries need to know to serve: which instances live, which
-// configuration and weight versions hold, and where the control instances are.
+// Package fleet distributes the state that entries need to serve requests: the live instances, the
+// configuration and the weight versions in force, and the addresses of the control instances.
 //
-// Each control instance has a Source, which tells what it heard from instances itself
-// and what it applied of the log. Each entry has a Follower, which watches all sources
-// and joins what they tell into one View. No leader and no second hop lies between an
-// instance that says that it leaves and the entries that must stop sending to it.
+// Each control instance has a Source, which publishes the heartbeats that it received from
+// instances and the log entries that it has applied. Each entry has a Follower, which polls all
+// sources and merges their answers into one View. An instance's announcement that it leaves thus
+// reaches the entries without passing through a leader or a second hop.
 package fleet
 
 import (
@@ -26,99 +26,101 @@
 )
 
 const (
-	// silentBeats is after how many missing heartbeats an instance counts as gone: a
-	// heartbeat may come some seconds late.
-	silentBeats = 4
-	// sweepInterval is how often silent instances are looked for.
+	// silentHeartbeats is the number of missing heartbeats after which an instance counts as
+	// silent: a heartbeat may be some seconds late.
+	silentHeartbeats = 4
+	// sweepInterval is how often the source checks for silent instances.
 	sweepInterval = 500 * time.Millisecond
-	// awakeAfter is for how long after it stood still a process may find old orders that were sent to
-	// it before.
-	awakeAfter = time.Second
-	// newsInterval is how much time lies at least between two tellings of news, which joins what
-	// changes meanwhile: in a large fleet instances report hundreds of times a second after a loss
-	// of power, and each telling is an answer to each entry. A part is known so much later, of the
-	// 2 s for which it is named.
-	newsInterval = 200 * time.Millisecond
+	// staleOrderWindow is how long after a pause of this process orders that were sent before the
+	// pause may still be received.
+	staleOrderWindow = time.Second
+	// notifyInterval is the minimum time between two notifications of polls; changes in between are
+	// batched. In a large fleet, instances report hundreds of times per second after a power loss,
+	// and each notification is an answer to each entry. Entries learn of a stored part later by as
+	// much, of the 2 s for which it is announced.
+	notifyInterval = 200 * time.Millisecond
 )
 
-// Source is what one control instance tells. Make one with NewSource. It is safe for
-// concurrent use.
+// Source is the state that one control instance publishes. Use NewSource to make one. It is safe
+// for concurrent use.
 type Source struct {
 	epoch     uint64
 	heartbeat time.Duration
 	log       *log.Logger
-	// text holds the configuration's text as it is given to entries.
-	text textLibrary
+	// configText holds the configuration's text in pieces, as it is sent to entries.
+	configText configRepository
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 	registry  registry.Registry
 	installed ledger.Installed
-	// named holds when versions of weights were named, as far as this control instance has
-	// been running since.
-	named map[string]weights.History
-	// control holds the addresses of the control instances, and controlChange numbers its
-	// changes.
+	// weightHistories holds when the weight versions of each model were announced, for the time
+	// since this control instance started.
+	weightHistories map[string]weights.History
+	// control holds the addresses of the control instances, and controlChange numbers its changes.
 	control       []string
 	controlChange uint64
-	// stores holds what stores keep while this control instance leads.
+	// stores holds the contents of the stores while this control instance leads.
 	stores storesFeed
 	// leaderless is true while this control instance knows no leader.
 	leaderless bool
-	// busy names the instances that load weights, or will next.
+	// busy holds the instances that are loading weights, or are next to do so.
 	busy []registry.Incarnation
-	// loads holds what engines told of their load, while this control instance leads.
+	// loads holds the loads that engines reported, while this control instance leads.
 	loads loadsFeed
-	// facts holds what entries told of ends of instances, which are passed on to all others.
+	// facts holds the facts about instance ends that entries reported. They are relayed to all
+	// other entries.
 	facts *quarantine.FactSet
-	// suspects holds what entries told of requests that failed, and failing the instances that fail
-	// by that.
+	// suspects holds the failed requests that entries reported, and failing the instances that are
+	// judged to fail on that basis.
 	suspects *suspects.Detector
 	failing  []registry.Incarnation
-	// news is true while something has changed since the last telling, which was at toldAt and up
-	// to told: whoever knows that much waits for the next one.
-	news   bool
-	toldAt time.Time
-	told   marks
-	// entries holds what each entry said lately.
-	entries map[string]watcher
-	// recalledEntries is how many entries there were in an earlier life, which was taken up at
-	// recalledAt: they share what all may send together also before they have asked again.
-	recalledEntries int
-	recalledAt      time.Time
-	// given counts the questions for the configuration since it was last logged: all entries ask
-	// as all start.
-	given int
-	// evacuations are those applied of the log, each with since when this control instance has
-	// known it, and evacuated is the newest of their revisions.
-	evacuations []evacuated
-	evacuated   uint64
-	// swept is when silent instances were last looked for, and stood when that came late because this
-	// process had stood still.
-	swept, stood time.Time
-	// changed is closed and replaced at each change.
+	// pending is true if there are changes since the last notification, which was sent at
+	// notifiedAt. notified holds the cursors of that notification: a poll that is not behind them
+	// waits for the next one.
+	pending    bool
+	notifiedAt time.Time
+	notified   cursors
+	// entries holds the last status of each entry, by name.
+	entries map[string]entryStatus
+	// restoredEntries is the number of entries before this process restarted, as restored at
+	// restoredAt. It keeps the shares of the fleet-wide limits correct until the entries have
+	// polled again.
+	restoredEntries int
+	restoredAt      time.Time
+	// configRequests counts the requests for the configuration since the last log line about them:
+	// all entries send one when the whole fleet starts.
+	configRequests int
+	// evacuations holds those applied from the log, each with the time since when this control
+	// instance has known it. evacuationRevision is the newest of their revisions.
+	evacuations        []appliedEvacuation
+	evacuationRevision uint64
+	// sweptAt is the time of the last sweep. pausedAt is the time of the last sweep that was late
+	// because this process had been suspended or frozen.
+	sweptAt, pausedAt time.Time
+	// changed is closed and replaced at each notification.
 	changed chan struct{}
 }
 
-// NewSource starts the watch for silent instances, which ends with ctx; heartbeat is how
-// often instances report.
+// NewSource also starts the periodic sweeps and notifications, which end with ctx. heartbeat is the
+// interval at which instances report.
 func NewSource(ctx context.Context, heartbeat time.Duration, logger *log.Logger) *Source {
 	s := &Source{
-		epoch: rand.Uint64() | 1, heartbeat: heartbeat, log: logger, named: map[string]weights.History{},
-		registry: registry.Registry{SilentAfter: silentBeats * heartbeat},
-		entries:  map[string]watcher{}, changed: make(chan struct{}), facts: quarantine.New(0), swept: clock.Now(), suspects: suspects.New(),
+		epoch: rand.Uint64() | 1, heartbeat: heartbeat, log: logger, weightHistories: map[string]weights.History{},
+		registry: registry.Registry{SilentAfter: silentHeartbeats * heartbeat},
+		entries:  map[string]entryStatus{}, changed: make(chan struct{}), facts: quarantine.New(0), sweptAt: clock.Now(), suspects: suspects.New(),
 	}
 	go func() {
 		ticker := time.NewTicker(sweepInterval)
 		defer ticker.Stop()
-		news := time.NewTicker(newsInterval)
-		defer news.Stop()
+		notifyTicker := time.NewTicker(notifyInterval)
+		defer notifyTicker.Stop()
 		for {
 			select {
 			case <-ticker.C:
 				s.sweep(clock.Now())
-			case <-news.C:
-				s.tellNews()
+			case <-notifyTicker.C:
+				s.notifyPending()
 			case <-ctx.Done():
 				return
 			}
@@ -127,64 +129,66 @@
 	return s
 }
 
-// RecordHeartbeat takes an instance's heartbeat.
+// RecordHeartbeat records an instance's heartbeat.
 func (s *Source) RecordHeartbeat(in registry.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.registry.RecordHeartbeat(in, clock.Now()) {
 		return
 	}
-	s.tell()
+	s.notify()
 	s.log.Info().Str("event", "instance_reported").Str("instance", in.ID).Int64("start", int64(in.Start)).Str("service", in.Service).Str("address", in.Address).Bool("leaving", in.Leaving).Uint64("sequence", in.Sequence).Msg("")
 }
 
-// RecordDeparture takes the end of an incarnation, or without a start that of all before.
+// RecordDeparture records that an incarnation has left. Without a start, it applies to all
+// incarnations of the id so far.
 func (s *Source) RecordDeparture(in registry.Incarnation) {
-	s.end(in, "instance_left")
+	s.recordEnd(in, "instance_left")
 }
 
-// RecordRestart takes the end of an incarnation that showed when the next one of its id answered
-// in its place. The next one is known once it reports itself.
+// RecordRestart records the end of an incarnation that was detected because the next incarnation of
+// its id answered in its place. The next one becomes known when it reports itself.
 func (s *Source) RecordRestart(err *registry.RestartedError) {
 	if err.Expected.Start != 0 && err.ActualStart > err.Expected.Start {
-		s.end(err.Expected, "instance_started_again")
+		s.recordEnd(err.Expected, "instance_started_again")
 	}
 }
 
-func (s *Source) end(in registry.Incarnation, event string) {
+func (s *Source) recordEnd(in registry.Incarnation, event string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.registry.Leave(in, clock.Now())
-	s.tell()
+	s.notify()
 	s.log.Info().Str("event", event).Str("instance", in.ID).Int64("start", int64(in.Start)).Msg("")
 }
 
-// Publish sets what the log holds, as far as this control instance applied it.
-// newest is the newest version of each model's weights.
+// Publish sets the state of the log as applied by this control instance. newest is the newest
+// weight version of each model.
 func (s *Source) Publish(installed ledger.Installed, newest map[string]uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.installed = installed
 	now := clock.Now()
 	for model, version := range newest {
-		if version > s.named[model].Newest() {
-			s.named[model] = s.named[model].Announce(weights.Announcement{Version: version, At: now})
+		if version > s.weightHistories[model].Newest() {
+			s.weightHistories[model] = s.weightHistories[model].Announce(weights.Announcement{Version: version, At: now})
 		}
 	}
-	s.wake()
+	s.notifyNow()
 }
 
-// RequireWeights sets the version of each model before which no request may begin any more. Entries
-// find out by themselves when its time is over, so they are told with the next news.
+// RequireWeights sets the minimum weight version of each model for new requests. Entries determine
+// the end of the grace period by themselves, so this does not answer polls; it is sent with the
+// next answer.
 func (s *Source) RequireWeights(due map[string]uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for model, version := range due {
-		s.named[model] = s.named[model].Enforce(version)
+		s.weightHistories[model] = s.weightHistories[model].Enforce(version)
 	}
 }
 
-// PublishLeader sets whether a leader of the control log is known here.
+// PublishLeader sets whether this control instance knows a leader of the control log.
 func (s *Source) PublishLeader(known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,23 +204,23 @@
 	}
 	s.control = addresses
 	s.controlChange++
-	s.wake()
+	s.notifyNow()
 }
 
-// RecordWeights takes what an engine itself said of its weights, before its next heartbeat does:
-// until entries know of it, they ask the engine for a version that it no longer has.
+// RecordWeights records the weights that an engine reported when asked, ahead of its next
+// heartbeat: until entries know of them, they request a version that the engine no longer has.
 func (s *Source) RecordWeights(in registry.Instance, model string, version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.registry.RecordQueriedWeights(in, model, version, clock.Now()) {
 		return
 	}
-	s.tell()
+	s.notify()
 	s.log.Info().Str("event", "weights_loaded").Str("instance", in.ID).Int64("start", int64(in.Start)).Str("model", model).Uint64("version", version).Msg("")
 }
 
-// PublishBusy names the instances that requests had better avoid, because they load
-// weights or will next.
+// PublishBusy sets the instances that requests should avoid because they are loading weights, or
+// are next to do so.
 func (s *Source) PublishBusy(instances []registry.Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,37 +228,37 @@
 		return
 	}
 	s.busy = instances
-	s.wake()
+	s.notifyNow()
 }
 
-// PublishLoads sets the load of each engine that answered, and how often engines are asked; nil
-// says that nothing is known. Entries are told with the next news of stores.
+// PublishLoads sets the load of each engine that answered, and the interval at which engines are
+// polled; nil means that no loads are known. Entries receive loads with the next batch of changes.
 func (s *Source) PublishLoads(loads map[registry.Incarnation]balance.EngineLoad, interval time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.news = s.loads.publish(loads, interval) || s.news
+	s.pending = s.loads.publish(loads, interval) || s.pending
 }
 
-// tell tells of a change at once, or with others newsInterval after the last telling; mu must be
-// held.
-func (s *Source) tell() {
-	if clock.Since(s.toldAt) >= newsInterval {
-		s.wake()
+// notify answers polls at once, or, if the last notification is less than notifyInterval ago, with
+// the next batch of changes; mu must be held.
+func (s *Source) notify() {
+	if clock.Since(s.notifiedAt) >= notifyInterval {
+		s.notifyNow()
 		return
 	}
-	s.news = true
+	s.pending = true
 }
 
-// tellNews tells of what has changed since the last telling.
-func (s *Source) tellNews() {
+// notifyPending answers polls if there are changes since the last notification.
+func (s *Source) notifyPending() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.judge(clock.Now()) || s.news {
-		s.wake()
+	if s.updateFailing(clock.Now()) || s.pending {
+		s.notifyNow()
 	}
 }
 
-// Control returns the addresses of the control instances, as far as they are known.
+// Control returns the known addresses of the control instances.
 func (s *Source) Control() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,49 +268,49 @@
 func (s *Source) sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.excuse(now)
-	s.noteGiven()
+	s.discountPause(now)
+	s.logConfigRequests()
 	silent := s.registry.Sweep(now)
 	s.facts.Sweep(s.countEntries(), now)
 	if len(silent) > 0 {
-		s.tell()
+		s.notify()
 	}
 	for _, in := range silent {
 		s.log.Info().Str("event", "instance_silent").Str("instance", in.ID).Int64("start", int64(in.Start)).Str("service", in.Service).Str("address", in.Address).Msg("")
 	}
 }
 
-// excuse counts for nobody's silence what this process missed, suspended or frozen: on waking it
-// would take all instances for silent, and have no entry share the allowance of retries. mu must
-// be held.
-func (s *Source) excuse(now time.Time) {
-	missed := now.Sub(s.swept) - sweepInterval
+// discountPause excludes the time for which this process was suspended or frozen from the silence
+// of instances and entries. Otherwise, when it resumed, all instances would seem silent and no
+// entry would be counted for the division of the retry allowance. mu must be held.
+func (s *Source) discountPause(now time.Time) {
+	missed := now.Sub(s.sweptAt) - sweepInterval
 	if missed >= sweepInterval {
-		s.stood = now
+		s.pausedAt = now
 		s.registry.DiscountPause(missed, now)
 		for name, w := range s.entries {
-			w.at = w.at.Add(min(missed, now.Sub(w.at)))
+			w.polledAt = w.polledAt.Add(min(missed, now.Sub(w.polledAt)))
 			s.entries[name] = w
 		}
 		s.log.Info().Str("event", "silence_excused").Dur("missed_ms", missed).Msg("")
 	}
-	s.swept = now
+	s.sweptAt = now
 }
 
-// Awake reports whether this process has run without standing still for about a second.
+// Awake reports whether this process has not been suspended or frozen for the last second or so.
 func (s *Source) Awake() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	return now.Sub(s.swept) < 2*sweepInterval && now.Sub(s.stood) > awakeAfter
+	return now.Sub(s.sweptAt) < 2*sweepInterval && now.Sub(s.pausedAt) > staleOrderWindow
 }
 
-// wake answers all polls; mu must be held.
-func (s *Source) wake() {
-	s.news = false
-	s.toldAt = clock.Now()
-	s.told = marks{
-		instances: progress{change: s.registry.Change()}, stores: progress{change: s.stores.log.Last()}, storesUntil: s.stores.newest,
+// notifyNow answers all polls; mu must be held.
+func (s *Source) notifyNow() {
+	s.pending = false
+	s.notifiedAt = clock.Now()
+	s.notified = cursors{
+		instances: cursor{change: s.registry.Change()}, stores: cursor{change: s.stores.log.Last()}, storesUntil: s.stores.newestUntil,
 		loads: s.loads.change, facts: s.facts.Change(),
 	}
 	close(s.changed)
--- a/internal/transport/fleet/source_answer.go
+++ b/internal/transport/fleet/source_answer.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// maxWait bounds a long poll.
+	// maxWait limits the duration of a long poll.
 	maxWait = 5 * time.Second
-	// entryLifetime is how long an entry counts after its last poll, so that the share
-	// of the retries of entries that are cut off is not given to others at once.
+	// entryLifetime is how long an entry is counted after its last poll, so that the retry
+	// allowance of entries that are cut off is not given to others immediately.
 	entryLifetime = 30 * time.Second
 )
 
-// Watch answers when something changed since the caller's marks, or after a wait.
+// Watch answers when there are changes since the poller's cursors, or when the wait is over.
 func (s *Source) Watch(ctx context.Context, in *wire.FleetRequest) (*wire.FleetResponse, error) {
 	wait := time.NewTimer(min(time.Duration(in.WaitMilliseconds)*time.Millisecond, maxWait))
 	defer wait.Stop()
 	for {
-		out, news, changed := s.look(in)
-		if news {
+		out, ready, changed := s.poll(in)
+		if ready {
 			return out, nil
 		}
 		select {
@@ -40,70 +40,72 @@
 	}
 }
 
-// marks are up to where a caller knows what a Source tells, by its numbers.
-type marks struct {
-	instances, stores progress
-	// storesUntil is the latest time until which any store's parts are named.
+// cursors are a poller's positions in all that a Source publishes.
+type cursors struct {
+	instances, stores cursor
+	// storesUntil is the latest Until of any store.
 	storesUntil    time.Duration
 	control        uint64
 	loads, engines uint64
 	facts          uint64
 }
 
-// marksOf returns the caller's marks; those of another life of this source say nothing.
-func (s *Source) marksOf(in *wire.FleetRequest) marks {
+// cursorsOf returns the poller's cursors. Those of an earlier run of this source (another epoch)
+// are ignored.
+func (s *Source) cursorsOf(in *wire.FleetRequest) cursors {
 	if in.Epoch != s.epoch {
-		return marks{}
+		return cursors{}
 	}
-	return marks{
-		instances: progress{in.Change, in.Backlog}, stores: progress{in.StoreChange, in.StoreBacklog},
+	return cursors{
+		instances: cursor{in.Change, in.Backlog}, stores: cursor{in.StoreChange, in.StoreBacklog},
 		storesUntil: time.Duration(in.StoresUntil) * time.Millisecond,
 		control:     in.ControlChange, loads: in.LoadsChange, engines: in.EnginesChange, facts: in.FactsChange,
 	}
 }
 
-// look returns what the caller lacks, whether that is anything, and what is closed at
-// the next change.
-func (s *Source) look(in *wire.FleetRequest) (*wire.FleetResponse, bool, <-chan struct{}) {
+// poll returns the answer to a poller, whether it must be sent now, and a channel that is closed at
+// the next notification.
+func (s *Source) poll(in *wire.FleetRequest) (*wire.FleetResponse, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if in.Entry {
-		s.entries[in.Name] = watcher{at: clock.Now(), evacuations: in.Evacuations}
+		s.entries[in.Name] = entryStatus{polledAt: clock.Now(), evacuations: in.Evacuations}
 	}
-	since := s.marksOf(in)
-	out := s.lacking(in, since)
+	since := s.cursorsOf(in)
+	out := s.delta(in, since)
 	behind := out.More || since.instances.backlog > 0 || since.stores.backlog > 0
-	news := in.Epoch != s.epoch || behind || since.instances.change < s.told.instances.change || s.installed.Version > in.ConfigVersion ||
-		newer(newestOf(s.named), toWeights(in.Weights)) || s.evacuated > in.Evacuations || in.Entry && s.entryNews(in, since)
-	return out, news, s.changed
+	ready := in.Epoch != s.epoch || behind || since.instances.change < s.notified.instances.change || s.installed.Version > in.ConfigVersion ||
+		anyNewer(newestVersions(s.weightHistories), toWeights(in.Weights)) || s.evacuationRevision > in.Evacuations || in.Entry && s.readyForEntry(in, since)
+	return out, ready, s.changed
 }
 
-// lacking returns what a caller with some marks lacks, as far as it fits into one answer: instances
-// first, as nothing is served without them, and then what it must not send; mu must be held.
-func (s *Source) lacking(in *wire.FleetRequest, since marks) *wire.FleetResponse {
+// delta returns what has changed since the poller's cursors, as far as it fits into one answer.
+// Instances come first, as nothing can be served without them, and then the facts about requests
+// that must not be sent. mu must be held.
+func (s *Source) delta(in *wire.FleetRequest, since cursors) *wire.FleetResponse {
 	out := &wire.FleetResponse{
 		Epoch: s.epoch, ConfigVersion: s.installed.Version,
-		Entries: uint32(s.countEntries()), Weights: fromWeights(newestOf(s.named)), Named: fromNamed(s.named, clock.Now()), Due: fromWeights(dueOf(s.named)), Busy: fromIncarnations(s.busy), Failing: fromIncarnations(s.failing), ControlChange: s.controlChange,
+		Entries: uint32(s.countEntries()), Weights: fromWeights(newestVersions(s.weightHistories)), Named: fromHistories(s.weightHistories, clock.Now()), Due: fromWeights(enforcedVersions(s.weightHistories)), Busy: fromIncarnations(s.busy), Failing: fromIncarnations(s.failing), ControlChange: s.controlChange,
 		Rank: s.rankOf(in.Name), LoadsChange: since.loads, EnginesChange: since.engines, Leaderless: s.leaderless,
 	}
 	if since.control != s.controlChange {
 		out.Control = s.control
 	}
-	s.tellEvacuations(in.Evacuations, out)
+	s.addEvacuations(in.Evacuations, out)
 	p := newPage(in.Paged)
-	s.tellInstances(since.instances, p, out)
-	s.tellFacts(since.facts, p, out)
-	s.tellLoads(since, p, out)
-	s.stores.tell(since.stores, since.storesUntil, p, out)
+	s.addInstances(since.instances, p, out)
+	s.addFacts(since.facts, p, out)
+	s.addLoads(since, p, out)
+	s.stores.addTo(since.stores, since.storesUntil, p, out)
 	out.More = p.more
 	return out
 }
 
-// tellInstances adds the reports that a caller lacks; mu must be held.
-func (s *Source) tellInstances(since progress, p *page, out *wire.FleetResponse) {
+// addInstances adds the reports that the poller lacks; mu must be held.
+func (s *Source) addInstances(since cursor, p *page, out *wire.FleetResponse) {
 	last := s.registry.Change()
 	if since.change == 0 {
-		since = anew(last)
+		since = resyncFrom(last)
 	}
 	now := clock.Now()
 	add := func(r registry.Report) int {
@@ -111,27 +113,27 @@
 		out.Instances = append(out.Instances, report)
 		return proto.Size(report)
 	}
-	out.Change = addNews(p, s.registry.After(since.change), since.change, last, add)
+	out.Change = addChanges(p, s.registry.After(since.change), since.change, last, add)
 	out.Backlog = addBacklog(p, s.registry.UpTo(since.backlog), add)
 }
 
-// tellLoads adds the loads, all at once, unless the caller does not know all engines yet; mu
-// must be held.
-func (s *Source) tellLoads(since marks, p *page, out *wire.FleetResponse) {
+// addLoads adds all loads, unless the poller does not know all engines yet; mu must be held.
+func (s *Source) addLoads(since cursors, p *page, out *wire.FleetResponse) {
 	if since.loads == s.loads.change || out.Backlog > 0 {
 		return
 	}
-	s.loads.tell(since, p, out)
+	s.loads.addTo(since, p, out)
 }
 
-// entryNews reports whether there is news that only entries are woken for; mu must be held.
-func (s *Source) entryNews(in *wire.FleetRequest, since marks) bool {
-	return since.stores.change < s.told.stores.change || s.told.storesUntil >= since.storesUntil+untilStep ||
-		since.facts < s.told.facts || since.loads < s.told.loads || !slices.Equal(s.busy, toIncarnations(in.Busy)) ||
+// readyForEntry reports whether there are changes for which only the polls of entries are answered;
+// mu must be held.
+func (s *Source) readyForEntry(in *wire.FleetRequest, since cursors) bool {
+	return since.stores.change < s.notified.stores.change || s.notified.storesUntil >= since.storesUntil+untilStep ||
+		since.facts < s.notified.facts || since.loads < s.notified.loads || !slices.Equal(s.busy, toIncarnations(in.Busy)) ||
 		!slices.Equal(s.failing, toIncarnations(in.Failing))
 }
 
-// rankOf returns an entry's place among those that asked lately; mu must be held.
+// rankOf returns an entry's rank by name among the entries that polled lately; mu must be held.
 func (s *Source) rankOf(name string) uint32 {
 	rank := uint32(0)
 	for other := range s.entries {
@@ -142,14 +144,14 @@
 	return rank
 }
 
-// countEntries counts the entries that asked lately, or did before this control instance started
-// again; mu must be held.
+// countEntries returns the number of entries that polled lately, including those restored after a
+// restart of this control instance; mu must be held.
 func (s *Source) countEntries() int {
 	now := clock.Now()
-	s.excuse(now)
-	maps.DeleteFunc(s.entries, func(_ string, w watcher) bool { return now.Sub(w.at) > entryLifetime })
-	if now.Sub(s.recalledAt) > entryLifetime {
+	s.discountPause(now)
+	maps.DeleteFunc(s.entries, func(_ string, w entryStatus) bool { return now.Sub(w.polledAt) > entryLifetime })
+	if now.Sub(s.restoredAt) > entryLifetime {
 		return len(s.entries)
 	}
-	return max(len(s.entries), s.recalledEntries)
+	return max(len(s.entries), s.restoredEntries)
 }
--- a/internal/transport/fleet/source_configuration.go
+++ b/internal/transport/fleet/source_configuration.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// inlineBytes is up to which size, packed, all pieces come along with the manifest: a
-	// configuration of some dozen routes takes one call and not two.
+	// inlineBytes is the compressed size up to which all pieces are sent along with the manifest,
+	// so that a configuration of some dozen routes takes one call instead of two.
 	inlineBytes = 16 << 10
-	// maxPiecesBytes bounds the pieces of one answer, whatever the caller asks for.
+	// maxPiecesBytes limits the pieces in one answer, regardless of what the caller asks for.
 	maxPiecesBytes = 256 << 10
 )
 
-// textLibrary holds the text of the configuration in pieces. It is safe for concurrent use.
-type textLibrary struct {
+// configRepository holds the text of the configuration in pieces. It is safe for concurrent use.
+type configRepository struct {
 	mu sync.Mutex
 	// The fields below are guarded by mu.
-	version uint64
-	library chunks.Repository
+	version    uint64
+	repository chunks.Repository
 }
 
-// ConfigurationPieces tells what the configuration's text consists of, or gives pieces of it.
+// ConfigurationPieces returns the manifest of the configuration's text, or the requested pieces of
+// it.
 func (s *Source) ConfigurationPieces(ctx context.Context, in *wire.ConfigurationRequest) (*wire.ConfigurationResponse, error) {
 	installed := s.awaitInstalled(ctx, in.Version, time.Duration(in.WaitMilliseconds)*time.Millisecond)
-	out, err := s.text.answer(installed, in)
+	out, err := s.configText.answer(installed, in)
 	if err != nil {
 		s.log.Error().Str("event", "configuration_not_given").Uint64("version", installed.Version).Str("error", err.Error()).Msg("")
 		return nil, twirp.InternalErrorWith(err)
@@ -40,23 +41,24 @@
 	if len(in.Pieces) == 0 {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.given++
+		s.configRequests++
 	}
 	return out, nil
 }
 
-// noteGiven logs how many asked for the configuration since the last line; mu must be held.
-func (s *Source) noteGiven() {
-	if s.given == 0 {
+// logConfigRequests logs the number of requests for the configuration since the last such line; mu
+// must be held.
+func (s *Source) logConfigRequests() {
+	if s.configRequests == 0 {
 		return
 	}
-	s.log.Info().Str("event", "configuration_given").Uint64("version", s.installed.Version).Int("bytes", len(s.installed.Text)).Int("times", s.given).Msg("")
-	s.given = 0
+	s.log.Info().Str("event", "configuration_given").Uint64("version", s.installed.Version).Int("bytes", len(s.installed.Text)).Int("times", s.configRequests).Msg("")
+	s.configRequests = 0
 }
 
-// awaitInstalled returns the configuration once it has at least some version, or after a wait.
-// An entry that asks a control instance which applies a change some milliseconds later than
-// the one that told of it need not turn to that one, as all others do.
+// awaitInstalled returns the configuration once it has at least the given version, or when the wait
+// is over. If this control instance applies a change some milliseconds later than the one that
+// announced it, an entry thus need not turn to that one, to which all others turn as well.
 func (s *Source) awaitInstalled(ctx context.Context, version uint64, wait time.Duration) ledger.Installed {
 	timer := time.NewTimer(min(wait, maxWait))
 	defer timer.Stop()
@@ -78,13 +80,13 @@
 	}
 }
 
-// answer cuts the text when it is asked for first, and not when it is installed: that is done
-// in the loop of the control log, which has no time to spare for a long text.
-func (t *textLibrary) answer(installed ledger.Installed, in *wire.ConfigurationRequest) (*wire.ConfigurationResponse, error) {
+// answer splits the text at the first request for it instead of when it is installed: installing
+// runs in the loop of the control log, which must not be blocked by a long text.
+func (t *configRepository) answer(installed ledger.Installed, in *wire.ConfigurationRequest) (*wire.ConfigurationResponse, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if installed.Version > t.version {
-		err := t.library.Put(installed.Text)
+		err := t.repository.Put(installed.Text)
 		if err != nil {
 			return nil, errors.Wrapf(err, "version %d", installed.Version)
 		}
@@ -92,13 +94,13 @@
 	}
 	out := &wire.ConfigurationResponse{Version: t.version}
 	if len(in.Pieces) > 0 {
-		out.Packed = t.library.Compressed(toIDs(in.Pieces), min(int(in.MostBytes), maxPiecesBytes))
+		out.Packed = t.repository.Compressed(toIDs(in.Pieces), min(int(in.MostBytes), maxPiecesBytes))
 		return out, nil
 	}
-	refs, size := t.library.Newest()
+	refs, size := t.repository.Newest()
 	out.Manifest = fromRefs(refs)
 	if size <= inlineBytes {
-		out.Packed = t.library.Compressed(idsOf(refs), size)
+		out.Packed = t.repository.Compressed(idsOf(refs), size)
 	}
 	return out, nil
 }
--- a/internal/transport/fleet/source_stores.go
+++ b/internal/transport/fleet/source_stores.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// untilStep is by how much the times until which parts are named move on before entries
-	// are told of nothing else: a store's word is used for a second after it was told.
+	// untilStep is how far newestUntil must advance for polls to be answered when nothing else has
+	// changed: a store's contents are used for a second after they were announced.
 	untilStep = 300 * time.Millisecond
-	// goneFor is how long what a store no longer holds is remembered, so that those who
-	// knew of it are told; a watcher that asks later is told everything anew.
-	goneFor = 30 * time.Second
+	// tombstoneRetention is how long removed parts and stores are remembered, so that pollers that
+	// knew them learn of the removal. A poller that comes back later receives everything anew.
+	tombstoneRetention = 30 * time.Second
 )
 
-// storesFeed is what a Source tells of stores. The zero value knows none.
+// storesFeed is what a Source publishes about stores. The zero value is an empty feed.
 type storesFeed struct {
 	stores map[string]*storeFeed
-	// log numbers the changes of all stores, but for those of Until, and holds those of parts.
+	// log numbers the changes of all stores except those of Until, and holds the changes of parts.
 	log changes.Log[storedPart]
-	// forgotten is the newest change that is not remembered any more: watchers who were not
-	// told of it must be told everything anew.
-	forgotten uint64
-	// numbers counts the stores that ever were, and newest is the latest Until of any.
-	numbers uint32
-	newest  time.Duration
+	// forgottenChange is the newest change whose tombstone has expired. Pollers that have not
+	// received it must receive everything anew.
+	forgottenChange uint64
+	// lastNumber is the number of the store added last, and newestUntil the latest Until of any
+	// store.
+	lastNumber  uint32
+	newestUntil time.Duration
 }
 
 // storedPart is a part in one store.
@@ -41,161 +42,163 @@
 	part  keeping.Part
 }
 
-// storeFeed is one store.
+// storeFeed is the state of one store.
 type storeFeed struct {
-	address string
-	kept    keeping.StoreContents
-	number  uint32
+	address  string
+	contents keeping.StoreContents
+	number   uint32
 	// change is the newest change of anything but Until.
 	change uint64
-	// parts holds the newest change of each part, also of those in gone, which the store
-	// does not hold any more since then.
-	parts map[keeping.Part]uint64
-	gone  map[keeping.Part]time.Time
-	// began is the change with which the store became known.
-	began uint64
-	// left is set once the store is not part of the configuration any more.
-	left time.Time
-}
-
-// PublishStore sets what a store holds. Entries are told with the other stores' news, so
-// that many stores do not wake all entries many times a second.
-func (s *Source) PublishStore(address string, kept keeping.StoreContents) {
+	// partChanges holds the newest change of each part, including removed parts. tombstones holds
+	// the removed parts, with the time of their removal.
+	partChanges map[keeping.Part]uint64
+	tombstones  map[keeping.Part]time.Time
+	// firstChange is the change with which the store was added.
+	firstChange uint64
+	// removedAt is set when the store has been removed from the configuration.
+	removedAt time.Time
+}
+
+// PublishStore sets the contents of a store. Entries receive them with the next batch of changes,
+// so that many stores do not wake all entries many times a second.
+func (s *Source) PublishStore(address string, contents keeping.StoreContents) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stores.publish(address, kept, clock.Now())
-	s.news = true
+	s.stores.publish(address, contents, clock.Now())
+	s.pending = true
 }
 
-// ForgetStore drops a store that is not part of the configuration any more.
+// ForgetStore removes a store that is no longer in the configuration.
 func (s *Source) ForgetStore(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stores.forget(address, clock.Now())
-	s.news = true
+	s.stores.remove(address, clock.Now())
+	s.pending = true
 }
 
-func (f *storesFeed) publish(address string, kept keeping.StoreContents, now time.Time) {
+func (f *storesFeed) publish(address string, contents keeping.StoreContents, now time.Time) {
 	store := f.stores[address]
-	if store == nil || !store.left.IsZero() {
-		store = f.add(address)
+	if store == nil || !store.removedAt.IsZero() {
+		store = f.addStore(address)
 	}
-	for part := range store.kept.Parts {
-		if _, still := kept.Parts[part]; !still {
-			f.note(store, part)
-			store.gone[part] = now
+	for part := range store.contents.Parts {
+		if _, still := contents.Parts[part]; !still {
+			f.recordChange(store, part)
+			store.tombstones[part] = now
 		}
 	}
-	for part, tokens := range kept.Parts {
-		if store.kept.Parts[part] != tokens {
-			f.note(store, part)
-			delete(store.gone, part)
+	for part, tokens := range contents.Parts {
+		if store.contents.Parts[part] != tokens {
+			f.recordChange(store, part)
+			delete(store.tombstones, part)
 		}
 	}
-	if store.kept.FreeTokens != kept.FreeTokens || store.kept.OpenEpoch != kept.OpenEpoch {
+	if store.contents.FreeTokens != contents.FreeTokens || store.contents.OpenEpoch != contents.OpenEpoch {
 		store.change = f.log.Skip()
 	}
-	f.forgetGone(store, now)
-	store.kept = kept
-	f.newest = max(f.newest, kept.Until)
+	f.expireTombstones(store, now)
+	store.contents = contents
+	f.newestUntil = max(f.newestUntil, contents.Until)
 }
 
-// note numbers the change of a part.
-func (f *storesFeed) note(store *storeFeed, part keeping.Part) {
+// recordChange assigns a number to a change of a part.
+func (f *storesFeed) recordChange(store *storeFeed, part keeping.Part) {
 	store.change = f.log.Add(storedPart{store, part})
-	store.parts[part] = store.change
+	store.partChanges[part] = store.change
 }
 
-// add begins to tell of a store; what watchers knew of an earlier one there does not hold.
-func (f *storesFeed) add(address string) *storeFeed {
+// addStore adds a store. Pollers discard what they know of an earlier store at the same address.
+func (f *storesFeed) addStore(address string) *storeFeed {
 	if f.stores == nil {
 		f.stores = map[string]*storeFeed{}
-		f.log.Newest = func(p storedPart) uint64 { return p.store.parts[p.part] }
+		f.log.Newest = func(p storedPart) uint64 { return p.store.partChanges[p.part] }
 	}
-	f.numbers++
+	f.lastNumber++
 	at := f.log.Skip()
 	store := &storeFeed{
-		address: address, number: f.numbers, change: at, began: at,
-		parts: map[keeping.Part]uint64{}, gone: map[keeping.Part]time.Time{},
+		address: address, number: f.lastNumber, change: at, firstChange: at,
+		partChanges: map[keeping.Part]uint64{}, tombstones: map[keeping.Part]time.Time{},
 	}
 	f.stores[address] = store
 	return store
 }
 
-// forgetGone forgets parts that are gone for long.
-func (f *storesFeed) forgetGone(store *storeFeed, now time.Time) {
-	for part, since := range store.gone {
-		if now.Sub(since) > goneFor {
-			f.forgotten = max(f.forgotten, store.parts[part])
-			delete(store.parts, part)
-			delete(store.gone, part)
+// expireTombstones removes the tombstones older than tombstoneRetention.
+func (f *storesFeed) expireTombstones(store *storeFeed, now time.Time) {
+	for part, since := range store.tombstones {
+		if now.Sub(since) > tombstoneRetention {
+			f.forgottenChange = max(f.forgottenChange, store.partChanges[part])
+			delete(store.partChanges, part)
+			delete(store.tombstones, part)
 		}
 	}
 }
 
-func (f *storesFeed) forget(address string, now time.Time) {
+func (f *storesFeed) remove(address string, now time.Time) {
 	store := f.stores[address]
-	if store == nil || !store.left.IsZero() {
+	if store == nil || !store.removedAt.IsZero() {
 		return
 	}
-	store.left = now
+	store.removedAt = now
 	store.change = f.log.Skip()
-	store.parts, store.gone, store.kept = nil, nil, keeping.StoreContents{}
+	store.partChanges, store.tombstones, store.contents = nil, nil, keeping.StoreContents{}
 	maps.DeleteFunc(f.stores, func(_ string, other *storeFeed) bool {
-		return !other.left.IsZero() && now.Sub(other.left) > goneFor
+		return !other.removedAt.IsZero() && now.Sub(other.removedAt) > tombstoneRetention
 	})
 }
 
-// tell adds what a watcher lacks; until is its mark for the times until which parts are named.
-func (f *storesFeed) tell(since progress, until time.Duration, p *page, out *wire.FleetResponse) {
+// addTo adds what a poller lacks to an answer; until is the poller's cursor for the Until of
+// stores.
+func (f *storesFeed) addTo(since cursor, until time.Duration, p *page, out *wire.FleetResponse) {
 	last := f.log.Last()
-	whole := since.change < f.forgotten || since.change == 0
-	t := &storesTeller{out: out, states: map[*storeFeed]*wire.StoreState{}}
+	whole := since.change < f.forgottenChange || since.change == 0
+	t := &storesWriter{out: out, states: map[*storeFeed]*wire.StoreState{}}
 	for _, address := range slices.Sorted(maps.Keys(f.stores)) {
 		store := f.stores[address]
 		if whole || store.change > since.change {
-			t.state(store).Whole = whole || since.change < store.began
+			t.state(store).Whole = whole || since.change < store.firstChange
 		}
 	}
 	if whole {
-		since = anew(last)
+		since = resyncFrom(last)
 	}
-	out.StoreChange = addNews(p, f.log.After(since.change), since.change, last, t.add)
-	out.StoreBacklog = addBacklog(p, f.log.UpTo(since.backlog), t.addKept)
+	out.StoreChange = addChanges(p, f.log.After(since.change), since.change, last, t.add)
+	out.StoreBacklog = addBacklog(p, f.log.UpTo(since.backlog), t.addBacklogPart)
 	if out.StoreChange < last {
-		// A part that is gone may not be among those told: none is named for longer yet.
+		// A removal may not be in this answer yet, so Until is not advanced for any part.
 		out.StoresUntil = until.Milliseconds()
 		return
 	}
-	f.tellUntil(out)
+	f.addUntil(out)
 }
 
-// tellUntil adds until when each store's parts are named.
-func (f *storesFeed) tellUntil(out *wire.FleetResponse) {
-	out.StoresUntil = f.newest.Milliseconds()
+// addUntil adds the Until of each store.
+func (f *storesFeed) addUntil(out *wire.FleetResponse) {
+	out.StoresUntil = f.newestUntil.Milliseconds()
 	for _, address := range slices.Sorted(maps.Keys(f.stores)) {
 		store := f.stores[address]
-		if store.left.IsZero() {
+		if store.removedAt.IsZero() {
 			out.StoreNumbers = append(out.StoreNumbers, store.number)
-			out.StoreAges = append(out.StoreAges, uint32((f.newest - store.kept.Until).Milliseconds()))
+			out.StoreAges = append(out.StoreAges, uint32((f.newestUntil - store.contents.Until).Milliseconds()))
 		}
 	}
 }
 
-// storesTeller adds stores and their parts to one answer.
-type storesTeller struct {
+// storesWriter adds stores and their parts to one answer.
+type storesWriter struct {
 	out    *wire.FleetResponse
 	states map[*storeFeed]*wire.StoreState
 }
 
-// state returns what is told of a store, which is added if it was not. It does not count into
-// the page: many changed stores would leave no room for their parts in any answer.
-func (t *storesTeller) state(store *storeFeed) *wire.StoreState {
+// state returns the store's state in the answer, adding it if necessary. Its size does not count
+// towards the page: many changed stores would otherwise leave no room for their parts in any
+// answer.
+func (t *storesWriter) state(store *storeFeed) *wire.StoreState {
 	state := t.states[store]
 	if state == nil {
 		state = &wire.StoreState{
-			Address: store.address, Number: store.number, OpenTokens: int64(store.kept.FreeTokens), OpenEpoch: store.kept.OpenEpoch,
-			Gone: !store.left.IsZero(),
+			Address: store.address, Number: store.number, OpenTokens: int64(store.contents.FreeTokens), OpenEpoch: store.contents.OpenEpoch,
+			Gone: !store.removedAt.IsZero(),
 		}
 		t.states[store] = state
 		t.out.Stores = append(t.out.Stores, state)
@@ -203,17 +206,18 @@
 	return state
 }
 
-// add adds a part, and returns its bytes.
-func (t *storesTeller) add(p storedPart) int {
+// add adds a part and returns its size in bytes.
+func (t *storesWriter) add(p storedPart) int {
 	state := t.state(p.store)
-	part := &wire.KeptPart{Salt: p.part.Salt, Id: p.part.ID, Tokens: int64(p.store.kept.Parts[p.part])}
+	part := &wire.KeptPart{Salt: p.part.Salt, Id: p.part.ID, Tokens: int64(p.store.contents.Parts[p.part])}
 	state.Parts = append(state.Parts, part)
 	return proto.Size(part)
 }
 
-// addKept adds a part unless it is gone: a watcher knows no part of its backlog.
-func (t *storesTeller) addKept(p storedPart) int {
-	if p.store.kept.Parts[p.part] == 0 {
+// addBacklogPart adds a part unless it has been removed: a poller does not know any part in its
+// backlog yet.
+func (t *storesWriter) addBacklogPart(p storedPart) int {
+	if p.store.contents.Parts[p.part] == 0 {
 		return 0
 	}
 	return t.add(p)
--- a/internal/transport/fleet/stores_test.go
+++ b/internal/transport/fleet/stores_test.go
@@ -17,16 +17,16 @@
 	"github.com/shedrock/shedrock/internal/transport/fleet"
 )
 
-// What a store no longer holds is forgotten after a while, and a watcher that was away for
-// longer is told everything anew.
-func TestGonePartsAreForgotten(t *testing.T) {
+// Removed parts must be forgotten after a while, and a poller that was away for longer must receive
+// everything anew.
+func TestRemovedPartsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// The time of a bubble is Go's.
+		// The clock of a synctest bubble is that of package time.
 		clocktest.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
-		source := fleet.NewSource(ctx, heartbeat, quiet)
+		source := fleet.NewSource(ctx, heartbeat, discardLogger)
 		publish := func(ids ...string) {
 			parts := map[keeping.Part]int{}
 			for _, id := range ids {
@@ -34,74 +34,74 @@
 			}
 			source.PublishStore("store", keeping.StoreContents{Parts: parts})
 		}
-		// ask returns the parts that are told behind a mark: their tokens, and whether they
-		// are all that there are.
-		ask := func(since *wire.FleetResponse) (out *wire.FleetResponse, told map[string]int64, whole bool) {
+		// ask returns the parts sent since the cursor of an answer: their tokens, and whether they
+		// are all parts of the store.
+		ask := func(since *wire.FleetResponse) (out *wire.FleetResponse, received map[string]int64, whole bool) {
 			out, err := source.Watch(ctx, &wire.FleetRequest{Epoch: since.GetEpoch(), StoreChange: since.GetStoreChange()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			told = map[string]int64{}
+			received = map[string]int64{}
 			for _, store := range out.Stores {
 				whole = store.Whole
 				for _, part := range store.Parts {
-					told[part.Id] = part.Tokens
+					received[part.Id] = part.Tokens
 				}
 			}
-			return out, told, whole
+			return out, received, whole
 		}
 		publish("a", "b")
 		first, _, _ := ask(nil)
 		publish("b")
-		second, told, whole := ask(first)
-		if diff := cmp.Diff(map[string]int64{"a": 0}, told); diff != "" || whole {
-			t.Error("at once: ", whole, diff)
+		second, received, whole := ask(first)
+		if diff := cmp.Diff(map[string]int64{"a": 0}, received); diff != "" || whole {
+			t.Error("right after the removal: ", whole, diff)
 		}
 		time.Sleep(time.Minute)
 		publish("b", "c")
-		_, told, whole = ask(second)
-		if diff := cmp.Diff(map[string]int64{"c": 10}, told); diff != "" || whole {
-			t.Error("who knew of it: ", whole, diff)
+		_, received, whole = ask(second)
+		if diff := cmp.Diff(map[string]int64{"c": 10}, received); diff != "" || whole {
+			t.Error("poller that knew of the removal: ", whole, diff)
 		}
-		_, told, whole = ask(first)
-		if diff := cmp.Diff(map[string]int64{"b": 10, "c": 10}, told); diff != "" || !whole {
-			t.Error("who was away: ", whole, diff)
+		_, received, whole = ask(first)
+		if diff := cmp.Diff(map[string]int64{"b": 10, "c": 10}, received); diff != "" || !whole {
+			t.Error("poller with an expired cursor: ", whole, diff)
 		}
 	})
 }
 
-// Parts of stores come as what changed, and the newest word on a store holds.
-func TestKeptPartsAreTold(t *testing.T) {
+// Parts of stores must be sent as changes, and the newest contents of a store must win.
+func TestStorePartsArePublished(t *testing.T) {
 	a, b := newControl(t), newControl(t)
 	f := follow(t, a, b)
 	part := func(id string) keeping.Part { return keeping.Part{Salt: "v1", ID: id} }
-	publish := func(c *control, until time.Duration, parts map[keeping.Part]int) {
+	publish := func(c *controlServer, until time.Duration, parts map[keeping.Part]int) {
 		c.source.Load().PublishStore("store", keeping.StoreContents{Until: until, FreeTokens: 100, Parts: parts})
 	}
 	holds := func(want map[keeping.Part]int) func() bool {
 		return func() bool { return cmp.Equal(want, f.View().Stores["store"].Parts) }
 	}
 	publish(a, 1*time.Second, map[keeping.Part]int{part("p"): 10, part("q"): 20})
-	wait(t, "both are known", holds(map[keeping.Part]int{part("p"): 10, part("q"): 20}))
+	waitFor(t, "both parts are known", holds(map[keeping.Part]int{part("p"): 10, part("q"): 20}))
 	publish(a, 2*time.Second, map[keeping.Part]int{part("q"): 20, part("r"): 30})
-	wait(t, "the change is known", holds(map[keeping.Part]int{part("q"): 20, part("r"): 30}))
+	waitFor(t, "the change is known", holds(map[keeping.Part]int{part("q"): 20, part("r"): 30}))
 	publish(b, 3*time.Second, map[keeping.Part]int{part("s"): 40})
-	wait(t, "another leads now", holds(map[keeping.Part]int{part("s"): 40}))
+	waitFor(t, "the contents from the next leader are known", holds(map[keeping.Part]int{part("s"): 40}))
 	if diff := cmp.Diff(3*time.Second, f.View().Stores["store"].Until); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Each store has an end of its own, and one that is not part of the configuration any more
-// is forgotten, so that its end does not move on.
-func TestStoresHaveTheirOwnEnds(t *testing.T) {
+// Each store must have its own Until, and a store removed from the configuration must be forgotten,
+// so that its Until does not advance.
+func TestStoresHaveSeparateExpiryTimes(t *testing.T) {
 	a := newControl(t)
 	f := follow(t, a)
 	source := a.source.Load()
 	ends := func() map[string]time.Duration {
 		out := map[string]time.Duration{}
-		for address, kept := range f.View().Stores {
-			out[address] = kept.Until
+		for address, contents := range f.View().Stores {
+			out[address] = contents.Until
 		}
 		return out
 	}
@@ -111,44 +111,44 @@
 	publish("x", 5*time.Second)
 	publish("y", 2*time.Second)
 	publish("z", 3*time.Second)
-	wait(t, "all are known", func() bool {
+	waitFor(t, "all stores are known", func() bool {
 		return cmp.Equal(map[string]time.Duration{"x": 5 * time.Second, "y": 2 * time.Second, "z": 3 * time.Second}, ends())
 	})
 	source.ForgetStore("z")
 	publish("x", 6*time.Second)
-	wait(t, "one is forgotten, and one lags", func() bool {
+	waitFor(t, "one store is forgotten, and one lags", func() bool {
 		return cmp.Equal(map[string]time.Duration{"x": 6 * time.Second, "y": 2 * time.Second}, ends())
 	})
 	publish("z", 7*time.Second)
-	wait(t, "it is back", func() bool { return ends()["z"] == 7*time.Second })
+	waitFor(t, "the forgotten store is back", func() bool { return ends()["z"] == 7*time.Second })
 }
 
-// A source that began anew does not leave the loads of its earlier life in force, whatever
-// its marks are.
-func TestLoadsOfAnEarlierLife(t *testing.T) {
+// The loads that a source sent before it restarted must not stay in force, whatever its cursors
+// are.
+func TestLoadsAreDroppedWhenASourceRestarts(t *testing.T) {
 	a := newControl(t)
 	f := follow(t, a)
 	before := map[registry.Incarnation]balance.EngineLoad{{ID: "x"}: {Waiting: 7, Used: 60_000}}
 	after := map[registry.Incarnation]balance.EngineLoad{{ID: "y"}: {Waiting: 2}}
 	a.source.Load().PublishLoads(before, time.Second)
-	wait(t, "the load is known", func() bool { return cmp.Equal(before, f.View().Loads) })
+	waitFor(t, "the load is known", func() bool { return cmp.Equal(before, f.View().Loads) })
 	a.restart()
 	a.source.Load().PublishLoads(after, time.Second)
-	wait(t, "only the new one is", func() bool { return cmp.Equal(after, f.View().Loads) })
+	waitFor(t, "only the new load is known", func() bool { return cmp.Equal(after, f.View().Loads) })
 }
 
-// A control instance that tells no loads does not make those of the leader look younger.
+// A control instance that publishes no loads must not make those of the leader seem more recent.
 func TestLoadsKeepTheirAge(t *testing.T) {
 	leader, other := newControl(t), newControl(t)
 	f := follow(t, leader, other)
 	loads := map[registry.Incarnation]balance.EngineLoad{{ID: "x"}: {Used: 60_000}}
 	leader.source.Load().PublishLoads(loads, time.Second)
-	wait(t, "the load is known", func() bool { return cmp.Equal(loads, f.View().Loads) })
-	told := f.View().LoadsAt
+	waitFor(t, "the load is known", func() bool { return cmp.Equal(loads, f.View().Loads) })
+	receivedAt := f.View().LoadsAt
 	other.restart()
 	other.source.Load().Publish(ledger.Installed{}, map[string]uint64{"m": 9})
-	wait(t, "the other is heard again", func() bool { return f.View().Weights["m"] == 9 })
-	if diff := cmp.Diff(told, f.View().LoadsAt); diff != "" {
+	waitFor(t, "an answer from the other source was applied", func() bool { return f.View().Weights["m"] == 9 })
+	if diff := cmp.Diff(receivedAt, f.View().LoadsAt); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/transport/fleet/suspended_test.go
+++ b/internal/transport/fleet/suspended_test.go
@@ -12,8 +12,8 @@
 	"github.com/shedrock/shedrock/internal/state/ledger"
 )
 
-// A control instance that was suspended tells how old a version of weights is, not for how long it
-// was awake since.
+// A control instance that was suspended must send the full age of a weight version, including the
+// time of the suspension.
 func TestSuspensionCountsIntoAges(t *testing.T) {
 	const asleep = time.Minute
 	machine := clocktest.New(t)
@@ -29,8 +29,8 @@
 	}
 }
 
-// Whoever asks first after a suspension is told of the entries that there were, whatever this process
-// has come to since.
+// The first poller after a suspension must receive the number of entries before it, whether or not
+// a sweep has run since.
 func TestEntriesCountRightAfterASuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	c := newControl(t)
@@ -45,23 +45,24 @@
 	}
 }
 
-// A control instance that stood still may find orders that were given before; it says so for a while.
-func TestWhoStoodStillIsNotAwake(t *testing.T) {
+// A control instance that was suspended may receive orders that were sent before that; Awake must
+// report this for a while.
+func TestAwakeAfterASuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	c := newControl(t)
 	if !c.source.Load().Awake() {
-		t.Error("it has not stood still")
+		t.Error("not awake before the suspension")
 	}
 	machine.Suspend(5 * time.Second)
 	if c.source.Load().Awake() {
-		t.Error("it stood still until now")
+		t.Error("awake right after the suspension")
 	}
-	wait(t, "it is awake again", c.source.Load().Awake)
+	waitFor(t, "it is awake again", c.source.Load().Awake)
 }
 
-// A control instance that was suspended has heard of nobody meanwhile. That says nothing of
-// instances and entries: they count for as long as it has been awake.
-func TestSuspensionIsNoSilenceOfOthers(t *testing.T) {
+// A control instance that was suspended has received no heartbeats and polls in the meantime. This
+// must not make instances silent or entries disappear: only the time while it was running counts.
+func TestSuspensionMarksNoInstanceSilent(t *testing.T) {
 	machine := clocktest.New(t)
 	c := newControl(t)
 	source := c.source.Load()
@@ -71,7 +72,7 @@
 		t.Fatal(err)
 	}
 	machine.Suspend(time.Hour)
-	// Twice the interval at which silent instances are looked for.
+	// Twice the sweep interval.
 	<-time.After(time.Second)
 	out, err := source.Watch(context.Background(), &wire.FleetRequest{})
 	if err != nil {
@@ -80,7 +81,7 @@
 	if diff := cmp.Diff([]bool{false}, []bool{out.Instances[0].Silent}); diff != "" || out.Entries != 1 {
 		t.Errorf("%d entries, instances: %s", out.Entries, diff)
 	}
-	wait(t, "it is silent once it was not heard for long", func() bool {
+	waitFor(t, "the instance is silent after too long without a heartbeat", func() bool {
 		out, err := source.Watch(context.Background(), &wire.FleetRequest{})
 		return err == nil && out.Instances[0].Silent
 	})
--- a/internal/transport/fleet/tell_test.go
+++ b/internal/transport/fleet/tell_test.go
@@ -18,50 +18,48 @@
 	"github.com/shedrock/shedrock/internal/transport/fleet"
 )
 
-// stuck is a source that answers polls and no tellings, as one whose processor is too busy.
-type stuck struct {
+// slowSource is a source that answers polls but no reports, as one that lacks CPU time.
+type slowSource struct {
 	address string
-	// now counts the tellings under way, and most is the highest that it was.
-	now, most, all atomic.Int64
+	// inFlight counts the reports in progress, and maxInFlight is its maximum.
+	inFlight, maxInFlight, total atomic.Int64
 }
 
-func newStuck(t *testing.T) *stuck {
+func newSlowSource(t *testing.T) *slowSource {
 	t.Helper()
-	s := &stuck{}
-	source := fleet.NewSource(t.Context(), heartbeat, quiet)
+	s := &slowSource{}
+	source := fleet.NewSource(t.Context(), heartbeat, discardLogger)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !strings.HasSuffix(r.URL.Path, "/Tell") {
 			wire.NewFleetServer(source).ServeHTTP(w, r)
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		s.all.Add(1)
-		n := s.now.Add(1)
-		for most := s.most.Load(); n > most && !s.most.CompareAndSwap(most, n); most = s.most.Load() {
+		s.total.Add(1)
+		n := s.inFlight.Add(1)
+		for most := s.maxInFlight.Load(); n > most && !s.maxInFlight.CompareAndSwap(most, n); most = s.maxInFlight.Load() {
 		}
 		<-r.Context().Done()
-		s.now.Add(-1)
+		s.inFlight.Add(-1)
 	}))
 	t.Cleanup(server.Close)
 	s.address = strings.TrimPrefix(server.URL, "http://")
 	return s
 }
 
-// What was seen: on a large day all control instances stood still for seconds at a time from the end
-// of a cut on, one had 4,096 file descriptors open, and there was no majority until the end.
-//
-// How it came about: entries told each control instance of failures, and of ends, up to ten times a
-// second each, whether or not it had answered the last ones: up to 14 connections of each of 294
-// entries at an instance that is slow, which made it slower.
-//
-// An entry tells a source one thing of a kind at a time.
-func TestSlowSourcesAreToldOneThingAtATime(t *testing.T) {
+// An entry must send a source only one report of each kind at a time. Entries used to report
+// failures, and ends, to each control instance up to ten times per second each, whether or not it
+// had answered the previous reports. Each of 294 entries had up to 14 connections to an instance that
+// was slow, which made it slower. In a large run, all control instances hung for seconds at a time
+// once a network partition had healed, one had 4,096 open file descriptors, and there was no majority
+// until the end.
+func TestSlowSourceGetsOneReportOfAKindAtATime(t *testing.T) {
 	const kinds = 2
-	s := newStuck(t)
-	tracker := &ends.Tracker{Entries: func() int { return 1 }, Metrics: ends.NewMetrics(), Log: quiet}
+	s := newSlowSource(t)
+	tracker := &ends.Tracker{Entries: func() int { return 1 }, Metrics: ends.NewMetrics(), Log: discardLogger}
 	failed := make(chan struct{}, 1)
 	f := &fleet.Follower{
-		Name: "e", Entry: true, Heartbeat: heartbeat, Ends: tracker, Log: quiet, FailuresPending: failed,
+		Name: "e", Entry: true, Heartbeat: heartbeat, Ends: tracker, Log: discardLogger, FailuresPending: failed,
 		TakeFailures: func() []suspects.Failures {
 			return []suspects.Failures{{Target: registry.Incarnation{ID: "x"}, Service: "s", Count: 1, Teams: 1, Expected: 1, Instances: 1, AllTeams: 1}}
 		},
@@ -76,10 +74,10 @@
 		case failed <- struct{}{}:
 		default:
 		}
-		see(tracker, fmt.Sprint("i-", i))
+		recordEnd(tracker, fmt.Sprint("i-", i))
 		<-time.After(100 * time.Millisecond)
 	}
-	if s.most.Load() > kinds || s.all.Load() < kinds {
-		t.Errorf("%d tellings at once of %d, must be at most %d", s.most.Load(), s.all.Load(), kinds)
+	if s.maxInFlight.Load() > kinds || s.total.Load() < kinds {
+		t.Errorf("%d reports in progress at once of %d, must be at most %d", s.maxInFlight.Load(), s.total.Load(), kinds)
 	}
 }
