--- a/internal/transport/fleet/view.go
+++ b/internal/transport/fleet/view.go
@@ -14,55 +14,55 @@
 	"github.com/shedrock/shedrock/internal/state/weights"
 )
 
-// busyFor is how long the word of a source that does not answer any more holds about
-// instances that load weights: a load takes a second or two.
-const busyFor = 3 * time.Second
+// busyRetention is how long the busy instances reported by a source remain in effect after its last
+// answer: loading weights takes a second or two.
+const busyRetention = 3 * time.Second
 
-// View is what an entry goes by. It never changes once it is published.
+// View is the state by which an entry serves. It is immutable once published.
 type View struct {
 	// Config is the configuration in force; it is nil until one is known.
 	Config *deployment.Config
-	// NewestConfigVersion is the newest version of the configuration that any source told of. While it is
-	// above Config's, this process serves by an older one and fetches the newer.
+	// NewestConfigVersion is the newest configuration version that any source announced. While it
+	// is above Config's version, this process serves by an older one and is fetching the newer one.
 	NewestConfigVersion uint64
 	// Instances holds the live instances of each service, in the order of their ids.
 	Instances map[string][]registry.Instance
-	// Weights holds the newest weight version of each model, and Named what is known of when
-	// its versions were named.
+	// Weights holds the newest weight version of each model, and WeightHistories what is known of
+	// when its versions were announced.
 	Weights         map[string]uint64
 	WeightHistories map[string]weights.History
-	// Contact says whether the control log is in reach.
+	// Contact tells whether the control log is reachable.
 	Contact Contact
 	// Control holds the addresses of the control instances.
 	Control []string
-	// Busy holds the instances that load weights, or will next.
+	// Busy holds the instances that are loading weights, or are next to do so.
 	Busy map[registry.Incarnation]bool
-	// Failing holds the instances that answer and fail, by what all entries see.
+	// Failing holds the instances that answer but fail, judged by the failures seen by all entries.
 	Failing map[registry.Incarnation]bool
-	// Loads holds what engines told of their load, LoadsAt when this process learned of the
-	// newest of it, and LoadsInterval how often they are asked.
+	// Loads holds the loads that engines reported, LoadsAt when this process received the newest of
+	// them, and LoadsInterval the interval at which engines are polled.
 	Loads   map[registry.Incarnation]balance.EngineLoad
 	LoadsAt time.Time
 
 	LoadsInterval time.Duration
-	// Stores holds what each store keeps, by its address.
+	// Stores holds the contents of each store, by address.
 	Stores map[string]keeping.StoreContents
 	// Evacuated holds the failure domains at whose instances no request may begin, and Returned
-	// those whose evacuation was ended, each with since when.
+	// those whose evacuation has ended, each with the time since when that is so.
 	Evacuated, Returned map[string]time.Time
-	// Evacuations is the newest change of evacuations that is in force here.
+	// Evacuations is the newest revision of evacuations in force here.
 	Evacuations uint64
-	// Entries is the highest number of entries that a source saw lately, at least 1, and Rank this
-	// one's place among them.
+	// Entries is the highest number of entries that any source counted lately, at least 1, and Rank
+	// this entry's rank among them.
 	Entries, Rank int
 
-	// succession is of Instances; a view that was not published has none.
-	succession *succession
+	// ownership is computed from Instances. It is nil in a view that was not published.
+	ownership *ownership
 }
 
-// succession says which incarnations have the ids and the addresses. It is worked out when it is
-// asked first: it is needed while attempts are under way, and there are many views.
-type succession struct {
+// ownership holds which incarnations have the ids and the addresses. It is computed on first use:
+// it is needed only while attempts are in progress, and there are many views.
+type ownership struct {
 	once   sync.Once
 	starts map[string]registry.Start
 	owners map[string]string
@@ -73,20 +73,21 @@
 	return slices.ContainsFunc(v.Instances[in.Service], func(other registry.Instance) bool { return other.Incarnation() == in.Incarnation() })
 }
 
-// Superseded returns what tells whether another incarnation has an instance's id or address.
+// Superseded returns a function that reports whether another incarnation now has an instance's id
+// or address.
 func (v *View) Superseded() func(registry.Instance) bool {
-	s := v.succession
+	s := v.ownership
 	if s == nil {
-		s = &succession{}
+		s = &ownership{}
 	}
-	s.once.Do(func() { s.note(v.Instances) })
+	s.once.Do(func() { s.fill(v.Instances) })
 	return func(in registry.Instance) bool {
 		owner, taken := s.owners[in.Address]
 		return s.starts[in.ID] > in.Start || taken && owner != in.ID
 	}
 }
 
-func (s *succession) note(services map[string][]registry.Instance) {
+func (s *ownership) fill(services map[string][]registry.Instance) {
 	s.starts = map[string]registry.Start{}
 	s.owners = map[string]string{}
 	for _, instances := range services {
@@ -97,53 +98,53 @@
 	}
 }
 
-// joinSoon joins the instances at once if they were not joined lately, or else as soon as that is
-// so; mu must be held.
-func (f *Follower) joinSoon(now time.Time) {
-	if f.joining {
+// scheduleRebuild rebuilds the list of instances now, or, if it was rebuilt recently, as soon as
+// rebuildShare and minRebuildPause allow; mu must be held.
+func (f *Follower) scheduleRebuild(now time.Time) {
+	if f.rebuildScheduled {
 		return
 	}
-	pause := max(joinPause, joinShare*f.joinTook) - now.Sub(f.joinedAt)
+	pause := max(minRebuildPause, rebuildShare*f.rebuildDuration) - now.Sub(f.rebuiltAt)
 	if pause <= 0 {
-		f.joinInstances()
+		f.rebuildInstances()
 		return
 	}
-	f.joining = true
+	f.rebuildScheduled = true
 	time.AfterFunc(pause, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.joinInstances()
+		f.rebuildInstances()
 		f.publish()
 	})
 }
 
-// joinInstances lists the live instances of each service; mu must be held.
-func (f *Follower) joinInstances() {
-	f.joining = false
-	began := clock.Now()
+// rebuildInstances rebuilds the list of live instances of each service; mu must be held.
+func (f *Follower) rebuildInstances() {
+	f.rebuildScheduled = false
+	startedAt := clock.Now()
 	f.instances = map[string][]registry.Instance{}
-	for _, in := range f.merged.Live(began) {
+	for _, in := range f.merged.Live(startedAt) {
 		f.instances[in.Service] = append(f.instances[in.Service], in)
 	}
-	f.succession = &succession{}
-	f.joinedAt = clock.Now()
-	f.joinTook = f.joinedAt.Sub(began)
+	f.ownership = &ownership{}
+	f.rebuiltAt = clock.Now()
+	f.rebuildDuration = f.rebuiltAt.Sub(startedAt)
 }
 
-// publish makes the view anew; mu must be held.
+// publish publishes a new view; mu must be held.
 func (f *Follower) publish() {
 	v := &View{
 		Config: f.config, NewestConfigVersion: f.newestVersion(), Instances: f.instances, Entries: 1,
-		Weights: newestOf(f.named), WeightHistories: maps.Clone(f.named), Contact: f.contact, Control: slices.Sorted(maps.Keys(f.sources)),
-		Stores: newestStores(f.sources), Busy: map[registry.Incarnation]bool{}, succession: f.succession, Failing: f.failing(clock.Now()),
+		Weights: newestVersions(f.weightHistories), WeightHistories: maps.Clone(f.weightHistories), Contact: f.contact, Control: slices.Sorted(maps.Keys(f.sources)),
+		Stores: newestStores(f.sources), Busy: map[registry.Incarnation]bool{}, ownership: f.ownership, Failing: f.failing(clock.Now()),
 		Evacuated: f.evacuations.Evacuated(), Returned: f.evacuations.Ended(), Evacuations: f.evacuations.Revision(),
 	}
 	for _, s := range f.sources {
-		if clock.Since(s.answered) < busyFor {
+		if clock.Since(s.answeredAt) < busyRetention {
 			for _, in := range s.busy {
 				v.Busy[in] = true
 			}
-			v.Loads = join(v.Loads, s.loads.loads)
+			v.Loads = mergeLoads(v.Loads, s.loads.loads)
 			if len(s.loads.loads) > 0 && s.loads.at.After(v.LoadsAt) {
 				v.LoadsAt = s.loads.at
 				v.LoadsInterval = s.loads.interval
@@ -156,9 +157,10 @@
 	f.view.Store(v)
 }
 
-// join returns what either of two sources told of loads. One of them tells nothing but for the time
-// in which two lead, and what it tells is not copied: there is a view for each answer.
-func join(a, b map[registry.Incarnation]balance.EngineLoad) map[registry.Incarnation]balance.EngineLoad {
+// mergeLoads merges the loads from two sources. Only while two control instances lead do both have
+// any. If one has none, the other's map is returned without a copy, as there is a view for each
+// answer.
+func mergeLoads(a, b map[registry.Incarnation]balance.EngineLoad) map[registry.Incarnation]balance.EngineLoad {
 	if len(a) == 0 {
 		return b
 	}
--- a/internal/transport/fleet/watch.go
+++ b/internal/transport/fleet/watch.go
@@ -12,80 +12,82 @@
 )
 
 const (
-	// pollWait is how long a source holds a poll; it is short enough that two of them
-	// lie within the 3 s after which a healed cut must not matter any more.
+	// pollWait is how long a source may hold a poll. Two polls fit into the 3 s after which a
+	// healed network partition must have no effect any more.
 	pollWait = time.Second
-	// pollTimeout gives up a source that is cut off or frozen.
+	// pollTimeout limits a call to a source that is cut off or frozen.
 	pollTimeout = 2 * time.Second
 	dialTimeout = 500 * time.Millisecond
-	// retryWait is the pause after a failed poll; the first after an answer is retryFirst, so
-	// that processes that start together find each other at once.
-	retryWait  = 200 * time.Millisecond
-	retryFirst = 20 * time.Millisecond
-	// behindAnswers is after how many answers that do not hold everything a follower logs that
-	// it lags: with fewer it has caught up within 0.1 s of a link of 10 Mbit/s.
+	// retryWait is the maximum pause after a failed poll. The first pause after an answer is
+	// firstRetryWait, so that processes that start together find each other at once.
+	retryWait      = 200 * time.Millisecond
+	firstRetryWait = 20 * time.Millisecond
+	// behindAnswers is the number of successive incomplete answers after which a follower logs that
+	// it is catching up: with fewer, it has caught up within 0.1 s on a link of 10 Mbit/s.
 	behindAnswers = 3
 )
 
-// knownSource is what a Follower knows of one control instance.
-type knownSource struct {
+// sourceState is what a Follower knows of one control instance.
+type sourceState struct {
 	cancel context.CancelFunc
 	epoch  uint64
-	// change and backlog are how far it told of instances, stores.change and stores.backlog
-	// how far of stores.
+	// change and backlog are the cursor for instances; stores.change and stores.backlog are the
+	// cursor for stores.
 	change, backlog uint64
-	// restarted is true from when it began anew until it has told of all instances again.
-	restarted bool
-	// unasked is true from when what it told of instances was forgotten until it is asked with
-	// those marks; an answer to an earlier question leaves out what did not change.
-	unasked bool
-	// answers counts the last answers in a row that did not hold everything, and behind is
-	// when the first of them came.
-	answers int
-	behind  time.Time
-	// answered is when it last answered, and reached whether the last poll did.
-	answered time.Time
-	reached  bool
-	// asked is when the last poll was sent, and inVain when the last one was that found no
-	// control log with a leader.
-	asked, inVain time.Time
-	// control holds the addresses of the control instances that it knows, and controlChange
-	// its mark.
+	// resyncing is true from a restart of the source until it has sent all instances again.
+	resyncing bool
+	// cursorReset is true from a reset of the cursor for instances until the next poll is sent with
+	// it. An answer to an earlier poll leaves out what had not changed, and is ignored.
+	cursorReset bool
+	// partialAnswers is the number of successive incomplete answers, and behindSince when the first
+	// of them came.
+	partialAnswers int
+	behindSince    time.Time
+	// answeredAt is when the source last answered, and reachable whether it answered the last poll.
+	answeredAt time.Time
+	reachable  bool
+	// polledAt is when the last poll was sent, and lastFailedPoll when the last poll was sent that
+	// failed or was answered without a known leader.
+	polledAt, lastFailedPoll time.Time
+	// control holds the addresses of the control instances that the source knows, and controlChange
+	// the cursor for them.
 	control       []string
 	controlChange uint64
-	// entries is how many entries watch it, and rank this one's place among them.
+	// entries is the number of entries that poll the source, and rank this entry's rank among them.
 	entries, rank int
-	stores        storesKnown
-	// version is the newest configuration that it told of.
-	version uint64
-	// avoidUntil is until when it is asked for the configuration after all others, because
-	// it did not help.
+	stores        storesState
+	// configVersion is the newest configuration version that the source announced.
+	configVersion uint64
+	// avoidUntil is the time until which the source is tried last for the configuration, because a
+	// request to it failed.
 	avoidUntil time.Time
-	loads      loadsKnown
-	// factsChange is up to where it told facts, and told what it knows of them.
+	loads      loadsState
+	// factsChange is the cursor for facts, and receiver tracks which facts the source knows.
 	factsChange uint64
-	told        *ends.ReceiverState
-	// tellingFacts and tellingFailures are true while it is told of ends or failures: one that is
-	// slow to answer would get more and more connections, and be slower.
-	tellingFacts, tellingFailures bool
-	// busy names the instances that the source's process has load weights.
+	receiver    *ends.ReceiverState
+	// sendingFacts and sendingFailures are true while a report of ends or of failures is being sent
+	// to the source. A source that is slow to answer would otherwise get more and more connections,
+	// which would make it slower still.
+	sendingFacts, sendingFailures bool
+	// busy holds the instances that are loading weights on order of the source's process, or are
+	// next to do so.
 	busy []registry.Incarnation
-	// failing names the instances that fail by what entries told the source.
+	// failing holds the instances that the source judges to fail by the reports of entries.
 	failing []registry.Incarnation
 }
 
 // watch polls one source until ctx ends.
 func (f *Follower) watch(ctx context.Context, address string) {
 	client := wire.NewFleetProtobufClient("http://"+address, f.client)
-	wait := retryFirst
+	wait := firstRetryWait
 	for ctx.Err() == nil {
 		out, err := client.Watch(ctx, f.request(address))
 		if err == nil {
-			f.take(address, out)
-			wait = retryFirst
+			f.apply(address, out)
+			wait = firstRetryWait
 			continue
 		}
-		f.lost(address, err)
+		f.markUnreachable(address, err)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -98,12 +100,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	in := &wire.FleetRequest{
-		Name: f.Name, Entry: f.Entry, Weights: fromWeights(newestOf(f.named)), WaitMilliseconds: uint32(pollWait.Milliseconds()),
+		Name: f.Name, Entry: f.Entry, Weights: fromWeights(newestVersions(f.weightHistories)), WaitMilliseconds: uint32(pollWait.Milliseconds()),
 		ConfigVersion: f.newestVersion(), Paged: true, Evacuations: f.evacuations.Revision(),
 	}
 	if s := f.sources[address]; s != nil {
-		s.asked = clock.Now()
-		s.unasked = false
+		s.polledAt = clock.Now()
+		s.cursorReset = false
 		in.Epoch = s.epoch
 		in.Change = s.change
 		in.Backlog = s.backlog
@@ -120,128 +122,128 @@
 	return in
 }
 
-func (f *Follower) lost(address string, err error) {
+func (f *Follower) markUnreachable(address string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.sources[address]
 	if s == nil {
 		return
 	}
-	s.inVain = s.asked
-	if !s.reached {
+	s.lastFailedPoll = s.polledAt
+	if !s.reachable {
 		return
 	}
-	s.reached = false
+	s.reachable = false
 	f.Log.Info().Str("event", "control_lost").Str("address", address).Str("error", err.Error()).Msg("")
 }
 
-// take joins one answer into the view.
-func (f *Follower) take(address string, out *wire.FleetResponse) {
+// apply merges one answer into the view.
+func (f *Follower) apply(address string, out *wire.FleetResponse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.sources[address]
-	if s == nil || s.unasked {
+	if s == nil || s.cursorReset {
 		return
 	}
 	now := clock.Now()
-	if !s.reached {
+	if !s.reachable {
 		f.Log.Info().Str("event", "control_reached").Str("address", address).Uint64("epoch", out.Epoch).Msg("")
 	}
 	if s.epoch != out.Epoch {
 		f.merged.BeginResync(address)
-		s.restarted = true
-		s.stores = storesKnown{}
-		s.told.Reset()
+		s.resyncing = true
+		s.stores = storesState{}
+		s.receiver.Reset()
 	}
 	caughtUp := s.backlog > 0 && out.Backlog == 0
-	if s.take(out, now) {
-		f.lookAtSources()
+	if s.apply(out, now) {
+		f.requestRefresh()
 	}
 	if out.Leaderless {
-		s.inVain = s.asked
+		s.lastFailedPoll = s.polledAt
 	} else {
-		f.contact = f.contact.reach(s.inVain, now)
+		f.contact = f.contact.withAnswer(s.lastFailedPoll, now)
 	}
-	f.noteBehind(address, s, out, now)
+	f.logCatchUp(address, s, out, now)
 	reports := make([]registry.Report, 0, len(out.Instances))
 	for _, r := range out.Instances {
 		reports = append(reports, toReport(r, address, now))
 	}
 	f.merged.Merge(address, reports, now)
-	if s.restarted && out.Backlog == 0 {
-		s.restarted = false
+	if s.resyncing && out.Backlog == 0 {
+		s.resyncing = false
 		f.merged.EndResync(address, now)
 	}
 	switch {
 	case caughtUp:
-		f.joinInstances()
+		f.rebuildInstances()
 	case len(reports) > 0:
-		f.joinSoon(now)
+		f.scheduleRebuild(now)
 	}
-	f.takeNamed(address, out, now)
-	f.takeEvacuations(address, out, now)
-	f.takeFacts(address, s, out, now)
-	f.wantConfig()
+	f.applyAnnouncements(address, out, now)
+	f.applyEvacuations(address, out, now)
+	f.applyFacts(address, s, out, now)
+	f.startFetch()
 	f.publish()
 }
 
-// lookAtSources has the sources watched that are named now. Instances report to any one of them, so
-// an entry that starts with few knows only some of the instances.
-func (f *Follower) lookAtSources() {
+// requestRefresh makes Run refresh the list of sources at once. Each instance reports to any one of
+// the sources, so an entry that starts with a few seeds knows only some of the instances.
+func (f *Follower) requestRefresh() {
 	select {
-	case f.renamed <- struct{}{}:
+	case f.refreshRequested <- struct{}{}:
 	default:
 	}
 }
 
-// take notes what an answer says of its source and of what the source alone vouches for. It reports
-// whether the source names other control instances than before.
-func (s *knownSource) take(out *wire.FleetResponse, now time.Time) (renamed bool) {
-	began := s.epoch != out.Epoch
-	s.reached = true
-	s.answered = now
+// apply records what an answer says about its source, and the state that is kept per source. It
+// reports whether the list of control instances has changed.
+func (s *sourceState) apply(out *wire.FleetResponse, now time.Time) (controlChanged bool) {
+	restarted := s.epoch != out.Epoch
+	s.reachable = true
+	s.answeredAt = now
 	s.epoch = out.Epoch
 	s.change = out.Change
 	s.backlog = out.Backlog
 	if s.controlChange != out.ControlChange || len(out.Control) > 0 {
-		renamed = !slices.Equal(s.control, out.Control)
+		controlChanged = !slices.Equal(s.control, out.Control)
 		s.control = out.Control
 	}
 	s.controlChange = out.ControlChange
-	s.loads.take(out, began, now)
+	s.loads.apply(out, restarted, now)
 	s.factsChange = out.FactsChange
 	s.entries = int(out.Entries)
 	s.rank = int(out.Rank)
 	s.busy = toIncarnations(out.Busy)
 	s.failing = toIncarnations(out.Failing)
-	s.version = out.ConfigVersion
-	s.stores.take(out, now)
-	return renamed
+	s.configVersion = out.ConfigVersion
+	s.stores.apply(out, now)
+	return controlChanged
 }
 
-// forgetInstances makes the source tell of all instances again.
-func (s *knownSource) forgetInstances() {
+// requestAllInstances resets the cursor for instances, so that the source sends all of them again.
+func (s *sourceState) requestAllInstances() {
 	if s.change > 0 {
 		s.change, s.backlog = 0, 0
-		s.unasked = true
+		s.cursorReset = true
 	}
 }
 
-// noteBehind logs when a source has more to tell than fits into several answers, and when
-// nothing is left; mu must be held.
-func (f *Follower) noteBehind(address string, s *knownSource, out *wire.FleetResponse, now time.Time) {
+// logCatchUp logs when a source has more to send than fits into several answers, and when the
+// follower has caught up; mu must be held.
+func (f *Follower) logCatchUp(address string, s *sourceState, out *wire.FleetResponse, now time.Time) {
 	if out.More {
-		if s.answers == 0 {
-			s.behind = now
+		if s.partialAnswers == 0 {
+			s.behindSince = now
 		}
-		s.answers++
-		if s.answers == behindAnswers {
+		s.partialAnswers++
+		if s.partialAnswers == behindAnswers {
 			f.Log.Info().Str("event", "catching_up").Str("address", address).Uint64("change", out.Change).Uint64("backlog", out.Backlog).Uint64("store_change", out.StoreChange).Uint64("store_backlog", out.StoreBacklog).Msg("")
 		}
 		return
 	}
-	if s.answers >= behindAnswers {
-		f.Log.Info().Str("event", "caught_up").Str("address", address).Int("answers", s.answers+1).Int64("took_ms", now.Sub(s.behind).Milliseconds()).Msg("")
+	if s.partialAnswers >= behindAnswers {
+		f.Log.Info().Str("event", "caught_up").Str("address", address).Int("answers", s.partialAnswers+1).Int64("took_ms", now.Sub(s.behindSince).Milliseconds()).Msg("")
 	}
-	s.answers = 0
+	s.partialAnswers = 0
 }
--- a/internal/transport/fleet/weights_test.go
+++ b/internal/transport/fleet/weights_test.go
@@ -15,91 +15,92 @@
 	"github.com/shedrock/shedrock/internal/transport/fleet"
 )
 
-// name publishes that a version of model m is the newest.
-func (c *control) name(version uint64) {
+// publishWeights announces a version of model m as the newest.
+func (c *controlServer) publishWeights(version uint64) {
 	c.source.Load().Publish(ledger.Installed{}, map[string]uint64{"m": version})
 }
 
-// namedAt waits until a follower knows a version, and returns when that was named.
-func namedAt(t *testing.T, f *fleet.Follower, version uint64) time.Time {
+// newestAnnouncedAt waits until a follower knows a version, and returns when that was announced.
+func newestAnnouncedAt(t *testing.T, f *fleet.Follower, version uint64) time.Time {
 	t.Helper()
-	wait(t, "the version is known", func() bool { return f.View().Weights["m"] == version })
+	waitFor(t, "the version is known", func() bool { return f.View().Weights["m"] == version })
 	at, _ := f.View().WeightHistories["m"].NewestAnnouncedAt()
 	return at
 }
 
-// Who starts late learns when a version was named, also while a source that has begun anew
-// takes it for a new one; and once it is due, that outlives the sources' memory.
-func TestNamingsKeepTheirAge(t *testing.T) {
+// A process that starts late must learn when a version was announced, even while a source that has
+// restarted takes it for a new one. Once a version is enforced, that must outlive the sources'
+// state.
+func TestAnnouncementsKeepTheirAge(t *testing.T) {
 	const late = 700 * time.Millisecond
 	a, b := newControl(t), newControl(t)
-	a.name(2)
-	named := time.Now()
+	a.publishWeights(2)
+	announcedAt := time.Now()
 	time.Sleep(late)
-	b.name(2)
-	at := namedAt(t, follow(t, a, b), 2)
-	wait(t, "the earlier of both holds", func() bool {
-		at = namedAt(t, follow(t, a, b), 2)
-		return at.Sub(named) < late/2
+	b.publishWeights(2)
+	at := newestAnnouncedAt(t, follow(t, a, b), 2)
+	waitFor(t, "the earlier announcement is known", func() bool {
+		at = newestAnnouncedAt(t, follow(t, a, b), 2)
+		return at.Sub(announcedAt) < late/2
 	})
 	a.restart()
-	a.name(2)
+	a.publishWeights(2)
 	b.restart()
-	b.name(2)
+	b.publishWeights(2)
 	f := follow(t, a, b)
-	if anew := namedAt(t, f, 2); anew.Sub(named) < late {
-		t.Errorf("nobody can know any more that it was named %s ago", time.Since(anew))
+	if again := newestAnnouncedAt(t, f, 2); again.Sub(announcedAt) < late {
+		t.Errorf("announced %s ago according to the follower, although no source can know that any more", time.Since(again))
 	}
 	b.source.Load().RequireWeights(map[string]uint64{"m": 2})
-	wait(t, "the version is due", func() bool { return f.View().WeightHistories["m"].Enforced() == 2 })
+	waitFor(t, "the version is enforced", func() bool { return f.View().WeightHistories["m"].Enforced() == 2 })
 }
 
-// A process is out of reach of the control log while no source answers that knows a leader,
-// and then knows since when it is in reach again.
-func TestOutOfReach(t *testing.T) {
-	var leaderless, mute atomic.Bool
+// The control log is unreachable for a process while no source answers that knows a leader.
+// Afterwards the process must know when it was last unreachable.
+func TestControlLogUnreachable(t *testing.T) {
+	var leaderless, unavailable atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if mute.Load() {
+		if unavailable.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		wire.NewFleetServer(lonely{&leaderless}).ServeHTTP(w, r)
+		wire.NewFleetServer(stubSource{&leaderless}).ServeHTTP(w, r)
 	}))
 	t.Cleanup(server.Close)
-	c := &control{t: t, server: server}
+	c := &controlServer{t: t, server: server}
 	c.restart()
 	f := follow(t, c)
 	out := func() bool { return f.View().Contact.Unreachable(time.Now()) }
-	wait(t, "it is in reach", func() bool { return !f.View().Contact.LastAnswer.IsZero() })
+	waitFor(t, "the control log is reachable", func() bool { return !f.View().Contact.LastAnswer.IsZero() })
 	if diff := cmp.Diff(true, f.View().Contact.LastUnreachable.IsZero()); diff != "" || out() {
-		t.Error("it was out of reach before: ", diff)
+		t.Error("unreachable before it was lost: ", diff)
 	}
-	for name, lose := range map[string]*atomic.Bool{"without a leader": &leaderless, "silent": &mute} {
+	for name, outage := range map[string]*atomic.Bool{"without a leader": &leaderless, "silent": &unavailable} {
 		began := time.Now()
-		lose.Store(true)
-		wait(t, name+", it is out of reach", out)
+		outage.Store(true)
+		waitFor(t, name+": the control log is unreachable", out)
 		back := time.Now()
-		lose.Store(false)
-		wait(t, "it is in reach again", func() bool { return !out() })
+		outage.Store(false)
+		waitFor(t, "the control log is reachable again", func() bool { return !out() })
 		lost := f.View().Contact.LastUnreachable
 		if lost.Before(began) || lost.After(back.Add(time.Second)) {
-			t.Errorf("%s: it was last out of reach %s after it began, for %s", name, lost.Sub(began), back.Sub(began))
+			t.Errorf("%s: last unreachable %s after the loss, which lasted %s", name, lost.Sub(began), back.Sub(began))
 		}
 	}
 }
 
-// lonely is a source that tells nothing but whether it knows a leader.
-type lonely struct{ leaderless *atomic.Bool }
+// stubSource is a source that publishes nothing but whether it knows a leader.
+type stubSource struct{ leaderless *atomic.Bool }
 
-func (l lonely) Watch(context.Context, *wire.FleetRequest) (*wire.FleetResponse, error) {
+func (l stubSource) Watch(context.Context, *wire.FleetRequest) (*wire.FleetResponse, error) {
 	time.Sleep(20 * time.Millisecond)
 	return &wire.FleetResponse{Epoch: 1, Leaderless: l.leaderless.Load()}, nil
 }
 
-func (l lonely) Tell(context.Context, *wire.TellRequest) (*wire.TellResponse, error) {
+func (l stubSource) Tell(context.Context, *wire.TellRequest) (*wire.TellResponse, error) {
 	return &wire.TellResponse{}, nil
 }
 
-func (l lonely) ConfigurationPieces(context.Context, *wire.ConfigurationRequest) (*wire.ConfigurationResponse, error) {
+func (l stubSource) ConfigurationPieces(context.Context, *wire.ConfigurationRequest) (*wire.ConfigurationResponse, error) {
 	return &wire.ConfigurationResponse{}, nil
 }
