--- a/internal/state/directory/directory.go
+++ b/internal/state/directory/directory.go
@@ -28,8 +28,8 @@
 	Generation uint64
 }
 
-// context is kept small: at the specified fleet size one entry holds some 7,000 of them, and
-// in the two present deployments one entry holds all of them.
+// context is kept small: at the target size one entry holds some 7,000 of them, and
+// in the two current deployments one entry holds all of them.
 type context struct {
 	// parent is the context whose object holds the blocks before this object's.
 	parent prefix.Key
