--- a/internal/transport/feed/feed.go
+++ b/internal/transport/feed/feed.go
@@ -1,9 +1,9 @@
-// Package feed distributes the declared state: a feed answers long polls with
-// deltas, or with every document when the caller is too far behind, and a
-// follower keeps a copy up to date from other processes' feeds.
+// Package feed distributes the declared state. A feed answers long polls with
+// deltas, or with all documents if the caller is too far behind. A follower keeps
+// a local feed up to date by polling another process's feed.
 //
-// Both ends have the same interface, so a relay is a follower whose copy feeds
-// the rest of its failure domain.
+// A follower's local feed can be served in turn, so a relay is a follower whose
+// feed is polled by the rest of its failure domain.
 package feed
 
 import (
@@ -20,40 +20,40 @@
 )
 
 const (
-	// keptDeltas is how many changes a caller may be behind before it is sent
-	// every document.
-	keptDeltas = 1024
-	// maxWait bounds a long poll.
+	// maxDeltas is the number of deltas that are retained. A caller that is further
+	// behind gets all documents.
+	maxDeltas = 1024
+	// maxWait bounds how long a long poll waits for a change.
 	maxWait = 30 * time.Second
 )
 
-type report struct {
+type appliedReport struct {
 	applied *wire.Applied
 	at      time.Time
 }
 
-// Feed holds the newest declared state and the changes that led to it. It is
-// safe for concurrent use.
+// Feed holds the newest declared state and the deltas of the last changes. It
+// is safe for concurrent use.
 type Feed struct {
 	mu sync.Mutex
-	// state is the newest one; it is a copy and never changes.
+	// state is a copy of the newest state. It is replaced and never modified.
 	state *declared.State
-	// deltas are ordered by revision without a gap, and end at state's.
+	// deltas are ordered by revision without gaps; the last one leads to state.
 	deltas []*wire.DocumentDelta
-	// changed is closed and replaced at each change.
+	// changed is closed and replaced at each change of state.
 	changed     chan struct{}
 	unconfirmed bool
-	applied     map[string]report
+	applied     map[string]appliedReport
 }
 
 // New returns an empty feed.
 func New() *Feed {
-	return &Feed{state: declared.New(), changed: make(chan struct{}), applied: map[string]report{}}
+	return &Feed{state: declared.New(), changed: make(chan struct{}), applied: map[string]appliedReport{}}
 }
 
-// Publish makes a state the newest one; an older one than the newest is ignored,
-// so a feed's revision only rises. When it is one step on, the difference is
-// found here.
+// Publish makes s the newest state. It ignores a state that is not newer than the
+// current one, so a feed's revision never decreases. If s is one revision ahead,
+// its deltas are computed here.
 func (f *Feed) Publish(s *declared.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,20 +61,21 @@
 	if s.Revision() == f.state.Revision()+1 {
 		deltas = deltasBetween(f.state, s)
 	}
-	f.put(s, deltas)
+	f.setState(s, deltas)
 }
 
-// PublishDeltas does the same for a state that was made from deltas, which are
-// passed on as they are.
+// PublishDeltas is like Publish, for a state that was made from the given deltas,
+// which are served unchanged.
 func (f *Feed) PublishDeltas(s *declared.State, deltas []*wire.DocumentDelta) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.put(s, deltas)
+	f.setState(s, deltas)
 }
 
-// put makes a state the newest one; mu must be held. Deltas that do not lead from
-// the state before to the new one are useless to callers, and all are forgotten.
-func (f *Feed) put(s *declared.State, deltas []*wire.DocumentDelta) {
+// setState makes s the newest state, if it is newer; mu must be held. If the deltas do
+// not lead from the current state to s, they and all retained ones are discarded, since
+// callers could not apply them.
+func (f *Feed) setState(s *declared.State, deltas []*wire.DocumentDelta) {
 	if s.Revision() <= f.state.Revision() {
 		return
 	}
@@ -83,19 +84,20 @@
 		deltas = nil
 	}
 	f.deltas = append(f.deltas, deltas...)
-	if len(f.deltas) > keptDeltas {
-		f.deltas = append([]*wire.DocumentDelta(nil), f.deltas[len(f.deltas)-keptDeltas:]...)
+	if len(f.deltas) > maxDeltas {
+		f.deltas = append([]*wire.DocumentDelta(nil), f.deltas[len(f.deltas)-maxDeltas:]...)
 	}
 	f.state = s.Clone()
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// deltasBetween finds the difference of one step, which changes one document.
+// deltasBetween returns the deltas between two consecutive revisions, of which each
+// changes one document.
 func deltasBetween(before, after *declared.State) []*wire.DocumentDelta {
 	var deltas []*wire.DocumentDelta
 	for _, kind := range declared.Kinds() {
-		old, next, changed := textsOf(before, after, kind)
+		old, next, changed := changedTexts(before, after, kind)
 		if !changed {
 			continue
 		}
@@ -112,7 +114,7 @@
 	return deltas
 }
 
-func textsOf(a, b *declared.State, kind declared.Kind) (old, next []byte, changed bool) {
+func changedTexts(a, b *declared.State, kind declared.Kind) (old, next []byte, changed bool) {
 	before, _ := a.Document(kind)
 	after, ok := b.Document(kind)
 	if !ok || before == after {
@@ -124,35 +126,36 @@
 	return old, after.Text(), true
 }
 
-// State returns the newest state, which must not be changed.
+// State returns the newest state, which must not be modified.
 func (f *Feed) State() *declared.State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state
 }
 
-// SetUnconfirmed says whether the feed's source is out of reach.
+// SetUnconfirmed sets whether the feed's source is unreachable or itself unconfirmed.
 func (f *Feed) SetUnconfirmed(v bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unconfirmed = v
 }
 
-// Unconfirmed reports what SetUnconfirmed said last.
+// Unconfirmed returns the value last set by SetUnconfirmed.
 func (f *Feed) Unconfirmed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unconfirmed
 }
 
-// Watch answers a long poll.
+// Watch answers a long poll: at once if the caller is behind, else at the next change or
+// when the poll's time is over.
 func (f *Feed) Watch(ctx context.Context, in *wire.WatchRequest) *wire.WatchResponse {
-	f.note(in.Applied)
+	f.recordApplied(in.Applied)
 	wait := min(time.Duration(in.WaitMilliseconds)*time.Millisecond, maxWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		answer, changed := f.answer(in)
+		answer, changed := f.currentResponse(in)
 		if answer.Full || len(answer.Deltas) > 0 {
 			return answer
 		}
@@ -166,17 +169,17 @@
 	}
 }
 
-func (f *Feed) note(applied []*wire.Applied) {
+func (f *Feed) recordApplied(applied []*wire.Applied) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := clock.Now()
 	for _, a := range applied {
-		f.applied[a.Name] = report{a, now}
+		f.applied[a.Name] = appliedReport{a, now}
 	}
 }
 
-// Applied returns what processes reported within a lifetime, by name. Those
-// heard from longer ago are forgotten.
+// Applied returns the reports received within the last lifetime, sorted by process
+// name, and deletes older ones.
 func (f *Feed) Applied(lifetime time.Duration) []*wire.Applied {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,8 +195,9 @@
 	return out
 }
 
-// answer makes the answer for a caller as things stand.
-func (f *Feed) answer(in *wire.WatchRequest) (*wire.WatchResponse, <-chan struct{}) {
+// currentResponse returns the response to a caller for the current state, and the channel
+// that is closed at the next change.
+func (f *Feed) currentResponse(in *wire.WatchRequest) (*wire.WatchResponse, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := &wire.WatchResponse{Revision: f.state.Revision(), Unconfirmed: f.unconfirmed}
@@ -218,10 +222,10 @@
 	return out, f.changed
 }
 
-// Service serves a feed to other processes.
+// Service implements the feed's wire service.
 type Service struct{ Feed *Feed }
 
-// Watch answers with what is newer than the caller's revision.
+// Watch returns the changes since the caller's revision.
 func (s Service) Watch(ctx context.Context, in *wire.WatchRequest) (*wire.WatchResponse, error) {
 	return s.Feed.Watch(ctx, in), nil
 }
--- a/internal/transport/feed/feed_test.go
+++ b/internal/transport/feed/feed_test.go
@@ -18,9 +18,9 @@
 	"github.com/shedrock/shedrock/internal/transport/rpc"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// source is a feed that is served, and the state behind it.
+// source is a feed served over RPC, and the state that is published to it.
 type source struct {
 	feed    *feed.Feed
 	state   *declared.State
@@ -28,7 +28,7 @@
 	answers []*wire.WatchResponse
 }
 
-// Watch records the answers, to see what was sent.
+// Watch calls the feed's Watch and records the answer.
 func (s *source) Watch(ctx context.Context, in *wire.WatchRequest) (*wire.WatchResponse, error) {
 	answer := s.feed.Watch(ctx, in)
 	s.answers = append(s.answers, answer)
@@ -56,8 +56,8 @@
 	return s
 }
 
-// change accepts n changes.
-func (s *source) change(t *testing.T, n int) {
+// publishChanges applies n changes to the state and publishes each.
+func (s *source) publishChanges(t *testing.T, n int) {
 	t.Helper()
 	for range n {
 		version := s.state.Revision() + 1
@@ -71,10 +71,11 @@
 	}
 }
 
-// follow follows the source until a revision is in force, and stops.
+// follow runs a follower of the source until a revision is in force. It returns the revisions
+// that were enforced.
 func (s *source) follow(t *testing.T, f *feed.Feed, revision uint64) (enforced []uint64) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	follower := &feed.Follower{
 		Feed: f, Client: rpc.NewClient(), Log: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}},
@@ -94,14 +95,14 @@
 	return enforced
 }
 
-// TestBehindByManyChanges comes back after 600 changes, which come as deltas, and
-// after more than are kept, which come as whole documents.
+// TestBehindByManyChanges checks that a follower that is 600 changes behind gets deltas, and
+// that one behind by more changes than are retained gets all documents.
 func TestBehindByManyChanges(t *testing.T) {
 	s := newSource(t)
-	s.change(t, 1)
+	s.publishChanges(t, 1)
 	f := feed.New()
 	s.follow(t, f, 1)
-	s.change(t, 600)
+	s.publishChanges(t, 600)
 	if diff := cmp.Diff([]uint64{601}, s.follow(t, f, 601)); diff != "" {
 		t.Fatal(diff)
 	}
@@ -109,7 +110,7 @@
 	if last.Full || len(last.Deltas) != 600 {
 		t.Fatalf("full %v, %d deltas", last.Full, len(last.Deltas))
 	}
-	s.change(t, 1500)
+	s.publishChanges(t, 1500)
 	s.follow(t, f, 2101)
 	if last := s.answers[len(s.answers)-1]; !last.Full {
 		t.Fatalf("%d deltas", len(last.Deltas))
@@ -120,39 +121,40 @@
 	}
 }
 
-// TestRelayPassesDeltasOn follows a follower.
+// TestRelayPassesDeltasOn checks that the follower of a follower gets the deltas.
 func TestRelayPassesDeltasOn(t *testing.T) {
 	s := newSource(t)
-	s.change(t, 1)
+	s.publishChanges(t, 1)
 	relay := newSource(t)
-	end := feed.New()
+	leaf := feed.New()
 	s.follow(t, relay.feed, 1)
-	relay.follow(t, end, 1)
-	s.change(t, 40)
+	relay.follow(t, leaf, 1)
+	s.publishChanges(t, 40)
 	s.follow(t, relay.feed, 41)
-	relay.follow(t, end, 41)
+	relay.follow(t, leaf, 41)
 	if last := relay.answers[len(relay.answers)-1]; last.Full || len(last.Deltas) != 40 {
 		t.Fatalf("the relay sent full %v, %d deltas", last.Full, len(last.Deltas))
 	}
 }
 
-// TestRevisionNeverFalls offers an older state, and a delta that does not fit.
-func TestRevisionNeverFalls(t *testing.T) {
+// TestRevisionNeverDecreases publishes an older state and applies a delta that does not match
+// the current document; neither may change the revision.
+func TestRevisionNeverDecreases(t *testing.T) {
 	s := newSource(t)
-	s.change(t, 5)
+	s.publishChanges(t, 5)
 	f := feed.New()
 	s.follow(t, f, 5)
 	old := newSource(t)
-	old.change(t, 3)
+	old.publishChanges(t, 3)
 	f.Publish(old.state)
 	follower := &feed.Follower{Feed: f, Enforce: func(*declared.State) { t.Fatal("an older state was enforced") },
 		Log: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}}}
-	if err := follower.Take(&wire.WatchResponse{Revision: 3, Full: true}); err != nil {
+	if err := follower.ApplyResponse(&wire.WatchResponse{Revision: 3, Full: true}); err != nil {
 		t.Fatal(err)
 	}
 	wrong := &wire.WatchResponse{Revision: 6, Deltas: []*wire.DocumentDelta{{Revision: 6, Kind: "models", Prefix: 1, Suffix: 1, Middle: []byte("x"), Checksum: 1}}}
-	if err := follower.Take(wrong); err == nil {
-		t.Fatal("a delta that does not fit was taken")
+	if err := follower.ApplyResponse(wrong); err == nil {
+		t.Fatal("a delta that does not match the document was applied")
 	}
 	if f.State().Revision() != 5 {
 		t.Fatalf("revision %d", f.State().Revision())
--- a/internal/transport/feed/follower.go
+++ b/internal/transport/feed/follower.go
@@ -15,41 +15,42 @@
 )
 
 const (
-	// pollWait is how long a follower's long poll waits for a change; it is also
-	// how often a follower is heard when nothing changes.
+	// pollWait is how long a follower's long poll waits for a change. It is also the
+	// interval of a follower's reports while nothing changes.
 	pollWait = 5 * time.Second
-	// pollSlack is added to pollWait before a source counts as out of reach.
-	pollSlack = 2 * time.Second
-	// searchTimeout bounds a poll while no source is known to be in reach.
+	// pollGrace is how long after pollWait a source counts as unreachable.
+	pollGrace = 2 * time.Second
+	// searchTimeout bounds a poll while no source is known to be reachable.
 	searchTimeout = time.Second
-	// retryWait is the shortest wait after a failure, and retryJitter is added.
-	retryWait   = 100 * time.Millisecond
-	retryJitter = 200 * time.Millisecond
+	// minRetryWait is the shortest wait after a failure; a random time of up to
+	// maxRetryJitter is added.
+	minRetryWait   = 100 * time.Millisecond
+	maxRetryJitter = 200 * time.Millisecond
 )
 
-// Follower keeps a feed up to date from a source. Set the fields, then Run.
+// Follower keeps a feed up to date by polling a source. Set the exported fields, then
+// call Run.
 type Follower struct {
 	// Feed receives the changes.
 	Feed *Feed
-	// Source returns the address to follow now; it is asked before each poll, so
-	// a change of relay takes effect at the next one.
+	// Source returns the address to poll; ok is false if there is none. It is called
+	// before each poll, so that a change of relay takes effect at the next one.
 	Source func() (address string, ok bool)
-	// Self names this process in reports of what is in force.
+	// Self returns this process's report of the revision in force.
 	Self func() *wire.Applied
-	// Enforce puts a state in force in this process. It returns when it is, so
-	// that the next poll reports it.
+	// Enforce puts a state in force in this process. It returns once the state is in
+	// force, so that the next poll reports it.
 	Enforce func(*declared.State)
-	// Store, when set, stores each new state durably before it is in force.
+	// Store, when set, stores each new state durably before it is put in force.
 	Store func(*declared.State) error
-	// Client carries the calls.
+	// Client is used for the polls.
 	Client *http.Client
-	// Log receives one line for each event.
-	Log *log.Logger
-	// full asks for every document at the next poll.
-	full bool
+	Log    *log.Logger
+	// requestFull makes the next poll request all documents.
+	requestFull bool
 }
 
-// Run follows until ctx ends.
+// Run polls the source until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := f.poll(ctx)
@@ -57,12 +58,12 @@
 			continue
 		}
 		if err == nil {
-			err = errors.New("the source has nothing, or is cut off itself")
+			err = errors.New("the source has no declared state, or cannot reach its own source")
 		}
 		f.Log.Debug().Str("event", "feed_retry").Str("error", err.Error()).Msg("")
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryWait + rand.N(retryJitter)):
+		case <-time.After(minRetryWait + rand.N(maxRetryJitter)):
 		}
 	}
 }
@@ -71,20 +72,21 @@
 	address, ok := f.Source()
 	if !ok {
 		f.Feed.SetUnconfirmed(true)
-		return errors.New("no source is in reach")
+		return errors.New("no source is reachable")
 	}
-	wait, limit := pollWait, pollWait+pollSlack
+	wait, timeout := pollWait, pollWait+pollGrace
 	if f.Feed.Unconfirmed() || f.Feed.State().Revision() == 0 {
-		// Looking for a source: one that does not answer at once is passed over.
-		wait, limit = 0, searchTimeout
+		// No source is known to be reachable: do not wait for a change, so that a source
+		// that does not answer is soon given up.
+		wait, timeout = 0, searchTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request := &wire.WatchRequest{
 		Revision:         f.Feed.State().Revision(),
 		Applied:          append(f.Feed.Applied(2*pollWait), f.Self()),
 		WaitMilliseconds: uint32(wait.Milliseconds()),
-		Full:             f.full,
+		Full:             f.requestFull,
 	}
 	answer, err := wire.NewFeedProtobufClient("http://"+address, f.Client).Watch(ctx, request)
 	if err != nil {
@@ -92,19 +94,20 @@
 		return err
 	}
 	f.Feed.SetUnconfirmed(answer.Unconfirmed)
-	return f.Take(answer)
+	return f.ApplyResponse(answer)
 }
 
-// Take puts an answer in force, unless it is older than what is.
-func (f *Follower) Take(answer *wire.WatchResponse) error {
-	f.full = false
+// ApplyResponse puts the state of a response in force, unless it is not newer than the
+// current one. If the response cannot be applied, the next poll requests all documents.
+func (f *Follower) ApplyResponse(answer *wire.WatchResponse) error {
+	f.requestFull = false
 	state := f.Feed.State()
 	if answer.Revision <= state.Revision() {
 		return nil
 	}
-	next, err := stateOf(state, answer)
+	next, err := nextState(state, answer)
 	if err != nil {
-		f.full = true
+		f.requestFull = true
 		return err
 	}
 	if f.Store != nil {
@@ -119,9 +122,9 @@
 	return nil
 }
 
-// stateOf makes the state that an answer leads to. Texts are patched step by
-// step, and each document is parsed once, however many steps there are.
-func stateOf(state *declared.State, answer *wire.WatchResponse) (*declared.State, error) {
+// nextState returns the state that results from a response. Deltas are applied to the
+// texts first, so that each document is parsed once, however many deltas it has.
+func nextState(state *declared.State, answer *wire.WatchResponse) (*declared.State, error) {
 	texts := answer.Documents
 	if !answer.Full {
 		var err error
@@ -134,7 +137,7 @@
 	for _, t := range texts {
 		d, faults := declared.Parse(t.Kind, t.Text)
 		if len(faults) > 0 {
-			return nil, errors.Errorf("a document in force does not parse here: %s", faults[0])
+			return nil, errors.Errorf("cannot parse a document that is in force at the source: %s", faults[0])
 		}
 		docs = append(docs, d)
 	}
@@ -147,13 +150,13 @@
 	return next, nil
 }
 
-// patchAll applies deltas in order and returns the texts that they changed.
+// patchAll applies consecutive deltas and returns the texts of the documents that changed.
 func patchAll(state *declared.State, deltas []*wire.DocumentDelta) ([]*wire.DocumentText, error) {
 	changed := map[string][]byte{}
 	revision := state.Revision()
 	for _, delta := range deltas {
 		if delta.Revision != revision+1 {
-			return nil, errors.Errorf("a delta to revision %d does not follow %d", delta.Revision, revision)
+			return nil, errors.Errorf("delta to revision %d does not follow revision %d", delta.Revision, revision)
 		}
 		revision = delta.Revision
 		old, ok := changed[delta.Kind]
@@ -163,7 +166,7 @@
 		d := declared.Delta{Prefix: int(delta.Prefix), Suffix: int(delta.Suffix), Middle: delta.Middle}
 		next, ok := d.Patch(old)
 		if !ok || xxhash.Sum64(next) != delta.Checksum {
-			return nil, errors.Errorf("the delta to revision %d does not fit", delta.Revision)
+			return nil, errors.Errorf("delta to revision %d does not match the current document", delta.Revision)
 		}
 		changed[delta.Kind] = next
 	}
