--- a/internal/state/declared/fields.go
+++ b/internal/state/declared/fields.go
@@ -204,7 +204,8 @@
 }
 
 // Repeatable reports whether a call may be sent more than once. path begins
-// with a slash. GET and HEAD are repeatable unless declared otherwise.
+// with a slash. Calls of every method are repeatable unless the service's
+// once-only list has "METHOD PATH" or "METHOD *".
 func (s Service) Repeatable(method, path string) bool {
 	return !contains(s.f.OnceOnly, method+" "+path) && !contains(s.f.OnceOnly, method+" *")
 }
--- a/internal/transport/control/replica.go
+++ b/internal/transport/control/replica.go
@@ -61,7 +61,7 @@
 
 // Replica is one replica of the control log. Set the exported fields, then Run.
 type Replica struct {
-	// ID is this replica's number, at least 1.
+	// ID is this replica's number. Replicas are numbered from 1.
 	ID uint64
 	// Address is the address at which other processes reach this replica.
 	Address string
