--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -54,7 +54,7 @@
 	options Options
 	cache   *cache
 	// Faults can be set while the engine runs.
-	Faults fault.Switch
+	Faults fault.Injector
 
 	mu sync.Mutex
 	// waiting holds the queue, best priority first.
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -26,34 +26,34 @@
 	Leaving          bool          `json:"leaving" help:"Refuse new runs as an instance that is stopping."`
 }
 
-// Switch holds the settings in force and lets requests change them. It is safe
+// Injector holds the settings in force and lets requests change them. It is safe
 // for concurrent use; the zero value has no faults.
-type Switch struct {
+type Injector struct {
 	mu       sync.Mutex
 	settings Settings
-	// Lose, when set, is called when a request asks to lose everything.
-	Lose func()
+	// OnReset, when set, is called when a request asks to lose everything.
+	OnReset func()
 }
 
 // Set puts settings in force.
-func (s *Switch) Set(settings Settings) {
+func (s *Injector) Set(settings Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.settings = settings
 }
 
 // Get returns the settings in force.
-func (s *Switch) Get() Settings {
+func (s *Injector) Get() Settings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.settings
 }
 
 // ServeHTTP takes new settings by PUT, and loses everything on DELETE.
-func (s *Switch) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodDelete {
-		if s.Lose != nil {
-			s.Lose()
+		if s.OnReset != nil {
+			s.OnReset()
 		}
 		return
 	}
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -20,7 +20,7 @@
 // Service is the stand-in. The zero value is ready.
 type Service struct {
 	// Faults can be set while the service runs.
-	Faults fault.Switch
+	Faults fault.Injector
 
 	mu sync.Mutex
 	// counts holds how often each call ran, by "METHOD path body".
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -59,7 +59,7 @@
 	link    *rate.Limiter
 	disk    *rate.Limiter
 	// Faults can be set while the store runs.
-	Faults fault.Switch
+	Faults fault.Injector
 
 	mu          sync.Mutex
 	incarnation string
@@ -77,7 +77,7 @@
 	s := &Store{options: o, incarnation: o.Incarnation, objects: map[uint64]*object{}}
 	s.link = rate.NewLimiter(rate.Limit(o.LinkRate), chunkBytes)
 	s.disk = rate.NewLimiter(rate.Limit(o.DiskRate), chunkBytes)
-	s.Faults.Lose = s.lose
+	s.Faults.OnReset = s.lose
 	return s
 }
 
--- a/internal/transport/entry/keep_test.go
+++ b/internal/transport/entry/keep_test.go
@@ -63,9 +63,9 @@
 		name   string
 		inject func(s *deployment)
 	}{
-		{"restarted empty at the same address", func(s *deployment) { s.store.Faults.Lose() }},
+		{"restarted empty at the same address", func(s *deployment) { s.store.Faults.OnReset() }},
 		{"full", func(s *deployment) { s.store.Faults.Set(fault.Settings{FillUp: true}) }},
-		{"restarted empty and full", func(s *deployment) { s.store.Faults.Lose(); s.store.Faults.Set(fault.Settings{FillUp: true}) }},
+		{"restarted empty and full", func(s *deployment) { s.store.Faults.OnReset(); s.store.Faults.Set(fault.Settings{FillUp: true}) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
