--- a/internal/protocol/cursor/cursor.go
+++ b/internal/protocol/cursor/cursor.go
@@ -16,8 +16,8 @@
 	"github.com/pkg/errors"
 )
 
-// Place is where a stream stands. It is a plain value.
-type Place struct {
+// Position is where a stream stands. It is a plain value.
+type Position struct {
 	// Upstream is the name of the engine that runs the run.
 	Upstream string
 	// Run is the run's id.
@@ -58,7 +58,7 @@
 }
 
 // AppendSeal appends the cursor of a place in a team's stream to dst.
-func (s *Sealer) AppendSeal(dst []byte, team string, p Place) []byte {
+func (s *Sealer) AppendSeal(dst []byte, team string, p Position) []byte {
 	aead := s.aeads[0]
 	var plain [256]byte
 	body := binary.AppendUvarint(plain[:0], p.Offset)
@@ -75,34 +75,34 @@
 
 // Open returns the place that a cursor of the team stands for. Its only error
 // is ErrRefused.
-func (s *Sealer) Open(team, cursor string) (Place, error) {
+func (s *Sealer) Open(team, cursor string) (Position, error) {
 	sealed, err := base64.RawURLEncoding.DecodeString(cursor)
 	if err != nil {
-		return Place{}, ErrRefused
+		return Position{}, ErrRefused
 	}
 	for _, aead := range s.aeads {
 		n := aead.NonceSize()
 		if len(sealed) < n {
-			return Place{}, ErrRefused
+			return Position{}, ErrRefused
 		}
 		body, err := aead.Open(nil, sealed[:n], sealed[n:], []byte(team))
 		if err == nil {
 			return decode(body)
 		}
 	}
-	return Place{}, ErrRefused
+	return Position{}, ErrRefused
 }
 
-func decode(body []byte) (Place, error) {
+func decode(body []byte) (Position, error) {
 	offset, n := binary.Uvarint(body)
 	if n <= 0 {
-		return Place{}, ErrRefused
+		return Position{}, ErrRefused
 	}
 	body = body[n:]
 	length, n := binary.Uvarint(body)
 	if n <= 0 || length > uint64(len(body)-n) {
-		return Place{}, ErrRefused
+		return Position{}, ErrRefused
 	}
 	body = body[n:]
-	return Place{Upstream: string(body[:length]), Run: string(body[length:]), Offset: offset}, nil
+	return Position{Upstream: string(body[:length]), Run: string(body[length:]), Offset: offset}, nil
 }
--- a/internal/transport/entry/resume.go
+++ b/internal/transport/entry/resume.go
@@ -45,7 +45,7 @@
 
 // jobFromCursor returns the job that a cursor refers to. The run ID ends in the
 // attempt's number.
-func (e *Entry) jobFromCursor(position cursor.Place) (*job, bool) {
+func (e *Entry) jobFromCursor(position cursor.Position) (*job, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n, ok := e.planner.UpstreamNumber(position.Upstream)
--- a/internal/transport/entry/sink.go
+++ b/internal/transport/entry/sink.go
@@ -43,7 +43,7 @@
 // writeStream forwards events until the end of the stream. Only a stream whose end was
 // received is complete.
 func (s *responder) writeStream(events exchange.Events, j *job) retry.Result {
-	position := cursor.Place{Upstream: j.plan.Name, Run: j.runID}
+	position := cursor.Position{Upstream: j.plan.Name, Run: j.runID}
 	for {
 		event, more, err := events.Next()
 		if err == io.EOF {
@@ -63,7 +63,7 @@
 // writeEvent writes one event with a sealed cursor as its ID; it reports false when the
 // caller has disconnected. While more events have already arrived, flushing is
 // deferred.
-func (s *responder) writeEvent(data []byte, position cursor.Place, more bool) bool {
+func (s *responder) writeEvent(data []byte, position cursor.Position, more bool) bool {
 	s.prepareWrite()
 	s.buf = append(s.buf[:0], "id: "...)
 	s.buf = s.sealer.AppendSeal(s.buf, s.team, position)
