--- a/internal/protocol/blocks/blocks.go
+++ b/internal/protocol/blocks/blocks.go
@@ -64,8 +64,8 @@
 	Limit int    `json:"limit"`
 }
 
-// Listed is one object of a list.
-type Listed struct {
+// ListedObject is one object of a list.
+type ListedObject struct {
 	Name
 	Label Label `json:"label"`
 	// Sealed is false while the object is written.
@@ -74,7 +74,7 @@
 
 // ListResponse holds objects in the order of their numbers.
 type ListResponse struct {
-	Objects []Listed `json:"objects"`
+	Objects []ListedObject `json:"objects"`
 	// More says that the limit was reached.
 	More bool `json:"more"`
 }
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -174,7 +174,7 @@
 			break
 		}
 		name := blocks.Name{Object: id, Generation: o.generation, Incarnation: s.incarnation}
-		out.Objects = append(out.Objects, blocks.Listed{Name: name, Label: o.label, Sealed: o.phase == sealed})
+		out.Objects = append(out.Objects, blocks.ListedObject{Name: name, Label: o.label, Sealed: o.phase == sealed})
 	}
 	writeJSON(w, out)
 }
--- a/internal/transport/entry/relearn.go
+++ b/internal/transport/entry/relearn.go
@@ -153,7 +153,7 @@
 
 // addObjects adds listed objects to the directory; it returns how many were added, and
 // those to be freed.
-func (r *relearner) addObjects(store string, objects []blocks.Listed, unsealed map[blocks.Name]bool) (learned int, toFree []placement.StoredObject) {
+func (r *relearner) addObjects(store string, objects []blocks.ListedObject, unsealed map[blocks.Name]bool) (learned int, toFree []placement.StoredObject) {
 	e := r.e
 	now := clock.Now()
 	e.mu.Lock()
@@ -223,8 +223,8 @@
 
 // listObjects lists a store's objects that belong to partitions of the directory, page
 // by page.
-func (e *Entry) listObjects(ctx context.Context, store string, partitions []uint16) ([]blocks.Listed, error) {
-	var out []blocks.Listed
+func (e *Entry) listObjects(ctx context.Context, store string, partitions []uint16) ([]blocks.ListedObject, error) {
+	var out []blocks.ListedObject
 	in := blocks.ListRequest{Parts: partitions, Limit: listPageSize}
 	for {
 		page, err := e.listObjectsPage(ctx, store, in)
