--- a/internal/protocol/engine/engine.go
+++ b/internal/protocol/engine/engine.go
@@ -55,8 +55,8 @@
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
 	Slots   int `json:"slots"`
-	// Reading counts the prompt tokens that wait to be computed.
-	Reading int `json:"reading"`
+	// PendingPromptTokens counts the prompt tokens that wait to be computed.
+	PendingPromptTokens int `json:"reading"`
 	// Version is the weight version being served.
 	Version string `json:"version"`
 	// Leaving is true once the engine takes no new work.
@@ -64,11 +64,13 @@
 }
 
 // String gives the form that HeaderLoad carries.
-func (l Load) String() string { return fmt.Sprintf("%d %d %d", l.Running, l.Queued, l.Reading) }
+func (l Load) String() string {
+	return fmt.Sprintf("%d %d %d", l.Running, l.Queued, l.PendingPromptTokens)
+}
 
 // ParseLoad reads a HeaderLoad; ok is false when there is none.
 func ParseLoad(s string) (l Load, ok bool) {
-	n, err := fmt.Sscanf(s, "%d %d %d", &l.Running, &l.Queued, &l.Reading)
+	n, err := fmt.Sscanf(s, "%d %d %d", &l.Running, &l.Queued, &l.PendingPromptTokens)
 	return l, err == nil && n == 3
 }
 
@@ -116,8 +118,8 @@
 	Label blocks.Label `json:"label"`
 }
 
-// Transferred is the engine's answer to a Transfer.
-type Transferred struct {
+// TransferResult is the engine's answer to a Transfer.
+type TransferResult struct {
 	// Blocks is how many leading blocks are now in the engine's memory, or in
 	// the store.
 	Blocks int `json:"blocks"`
--- a/internal/standin/engine/reports.go
+++ b/internal/standin/engine/reports.go
@@ -19,7 +19,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if time.Since(e.reportAt) >= e.options.LoadLag && !f.FreezeLoad {
-		e.reported = protocol.Load{Running: e.running, Queued: len(e.waiting), Slots: e.options.Slots, Reading: e.reading, Version: e.version, Leaving: f.Leaving}
+		e.reported = protocol.Load{Running: e.running, Queued: len(e.waiting), Slots: e.options.Slots, PendingPromptTokens: e.reading, Version: e.version, Leaving: f.Leaving}
 		e.reportAt = time.Now()
 	}
 	return e.reported
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -29,7 +29,7 @@
 		return in, nil, false
 	}
 	if in.Version != e.Version() {
-		writeJSON(w, protocol.Transferred{Refused: "another weight version is served"})
+		writeJSON(w, protocol.TransferResult{Refused: "another weight version is served"})
 		return in, nil, false
 	}
 	for _, s := range in.Keys {
@@ -51,7 +51,7 @@
 	if !ok {
 		return
 	}
-	var out protocol.Transferred
+	var out protocol.TransferResult
 	for _, ref := range in.Refs {
 		if out.Blocks+ref.Blocks > len(keys) {
 			out.Refused = "the objects hold more blocks than there are keys"
@@ -141,14 +141,14 @@
 		return
 	}
 	if e.cache.match(keys) < len(keys) {
-		writeJSON(w, protocol.Transferred{Refused: "the blocks are no longer cached"})
+		writeJSON(w, protocol.TransferResult{Refused: "the blocks are no longer cached"})
 		return
 	}
 	part := in.Keys[len(keys)-in.Refs[0].Blocks:]
 	ref, n, err := put(r.Context(), in, part)
-	out := protocol.Transferred{Blocks: len(part), Bytes: n, Ref: ref}
+	out := protocol.TransferResult{Blocks: len(part), Bytes: n, Ref: ref}
 	if err != nil {
-		out = protocol.Transferred{Bytes: n, Refused: err.Error()}
+		out = protocol.TransferResult{Bytes: n, Refused: err.Error()}
 	}
 	writeJSON(w, out)
 }
--- a/internal/transport/entry/attempt.go
+++ b/internal/transport/entry/attempt.go
@@ -85,7 +85,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.planner.Upstream(j.plan.Upstream).NoteLoad(load.Running, load.Queued, load.Reading, false)
+	e.planner.Upstream(j.plan.Upstream).NoteLoad(load.Running, load.Queued, load.PendingPromptTokens, false)
 }
 
 // recordRefusal updates the upstream from the headers of a refusal: it asked for a
--- a/internal/transport/entry/poll.go
+++ b/internal/transport/entry/poll.go
@@ -143,7 +143,7 @@
 	defer e.mu.Unlock()
 	u := e.planner.Upstream(p.number)
 	u.NoteProbeSuccess()
-	u.NoteLoad(load.Running, load.Queued, load.Reading, load.Leaving)
+	u.NoteLoad(load.Running, load.Queued, load.PendingPromptTokens, load.Leaving)
 	if u.Version != load.Version {
 		// A different weight version has its own cache, which starts out empty.
 		u.Version = load.Version
--- a/internal/transport/entry/transfer.go
+++ b/internal/transport/entry/transfer.go
@@ -83,8 +83,8 @@
 func blockBytes(j *job) int { return int(j.model.BytesPerToken()) * prefix.BlockTokens }
 
 // transfer asks an engine to import or export context.
-func (e *Entry) transfer(ctx context.Context, address string, in engine.Transfer) (engine.Transferred, error) {
-	var out engine.Transferred
+func (e *Entry) transfer(ctx context.Context, address string, in engine.Transfer) (engine.TransferResult, error) {
+	var out engine.TransferResult
 	req, err := sling.New().Post("http://" + address).BodyJSON(in).Request()
 	if err != nil {
 		return out, err
