--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault holds the faults that a stand-in can be told to show, by flags
-// at its start or by a request while it runs.
+// Package fault defines the faults that can be injected into a stand-in server,
+// by command line flags at its start or by an HTTP request while it runs.
 package fault
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Path is where a stand-in takes new settings, as JSON, by PUT.
+// Path is the URL path at which a stand-in accepts new Settings, as JSON, by PUT.
 const Path = "/standin/faults"
 
-// Settings are the faults in force. The zero value is a stand-in in good health.
+// Settings selects the injected faults. The zero value injects none.
 type Settings struct {
 	Slow             time.Duration `json:"slow" help:"Wait this long before each answer."`
 	Refuse           bool          `json:"refuse" help:"Refuse every run, saying that it did not run."`
@@ -26,34 +26,35 @@
 	Leaving          bool          `json:"leaving" help:"Refuse new runs as an instance that is stopping."`
 }
 
-// Injector holds the settings in force and lets requests change them. It is safe
-// for concurrent use; the zero value has no faults.
+// Injector holds the current settings and is the HTTP handler that changes them.
+// Its methods are safe for concurrent use; the zero value injects no faults.
 type Injector struct {
 	mu       sync.Mutex
 	settings Settings
-	// OnReset, when set, is called when a request asks to lose everything.
+	// OnReset, if not nil, is called on DELETE to discard the stand-in's state.
 	OnReset func()
 }
 
-// Set puts settings in force.
-func (s *Injector) Set(settings Settings) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.settings = settings
+// Set replaces the current settings.
+func (i *Injector) Set(settings Settings) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.settings = settings
 }
 
-// Get returns the settings in force.
-func (s *Injector) Get() Settings {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.settings
+// Get returns the current settings.
+func (i *Injector) Get() Settings {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.settings
 }
 
-// ServeHTTP takes new settings by PUT, and loses everything on DELETE.
-func (s *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP calls OnReset on DELETE. With any other method, normally PUT, it
+// replaces the settings with those in the JSON body.
+func (i *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodDelete {
-		if s.OnReset != nil {
-			s.OnReset()
+		if i.OnReset != nil {
+			i.OnReset()
 		}
 		return
 	}
@@ -63,8 +64,9 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Set(settings)
+	i.Set(settings)
 }
 
-// Abort closes the connection without an answer.
+// Abort panics with http.ErrAbortHandler, which makes the HTTP server close the
+// connection without completing the response.
 func Abort() { panic(http.ErrAbortHandler) }
