--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a small stand-in for a plain service, such as the one that
-// sends quotes. It counts how often each call ran, which is what the tests of
-// the at-most-once promise read.
+// Package service is a small stand-in for a plain HTTP service, such as the one
+// that sends quotes. It counts how often each call was executed; the tests of the
+// at-most-once guarantee read these counts.
 package service
 
 import (
@@ -14,29 +14,30 @@
 	"github.com/shedrock/shedrock/internal/standin/fault"
 )
 
-// PathCounts is where the counts can be read.
+// PathCounts is the URL path that returns the execution counts as JSON.
 const PathCounts = "/standin/counts"
 
-// Service is the stand-in. The zero value is ready.
+// Service is the stand-in server. The zero value is ready for use.
 type Service struct {
-	// Faults can be set while the service runs.
+	// Faults can be changed while the service runs.
 	Faults fault.Injector
 
 	mu sync.Mutex
-	// counts holds how often each call ran, by "METHOD path body".
+	// counts holds the number of executions of each call, keyed by "METHOD path body".
 	counts map[string]int
 }
 
-// Handler serves every path.
+// Handler returns the handler for the fault settings, the counts and, on every
+// other path, the service itself.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(fault.Path, &s.Faults)
 	mux.HandleFunc("GET "+PathCounts, s.serveCounts)
-	mux.HandleFunc("/", s.call)
+	mux.HandleFunc("/", s.serveCall)
 	return mux
 }
 
-// Count returns how often a call ran.
+// Count returns how often a call, given as "METHOD path body", was executed.
 func (s *Service) Count(call string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +50,7 @@
 	_ = json.NewEncoder(w).Encode(s.counts)
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
+func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
