--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,8 +1,8 @@
-// Package store is a small stand-in for a store instance: objects in a memory
-// and a disk tier behind one rate-limited link.
+// Package store is a small stand-in for a store instance. It keeps objects in a
+// memory tier and a disk tier behind one rate-limited network link.
 //
-// Invariant: an object is readable only while sealed, and its bytes are not
-// given back to the free space before the last reader has left.
+// Invariant: a read can start only while the object is sealed, and the space of a
+// freed object is not reclaimed before its last read has ended.
 package store
 
 import (
@@ -29,7 +29,8 @@
 	freeing
 )
 
-// chunkBytes is how much goes over the link at a time.
+// chunkBytes is the largest transfer between two waits for the rate limiters, and
+// their burst size.
 const chunkBytes = 16 << 10
 
 type object struct {
@@ -42,46 +43,47 @@
 	onDisk     bool
 }
 
-// Options are a stand-in store's settings. All sizes are bytes.
+// Options configures a Store. All sizes are in bytes.
 type Options struct {
 	MemoryBytes int64
 	DiskBytes   int64
-	// LinkRate is in bytes a second; DiskRate bounds reads from the disk tier.
+	// LinkRate limits transfers in both directions together, and DiskRate limits
+	// reads from the disk tier. Both are in bytes per second.
 	LinkRate float64
 	DiskRate float64
-	// Incarnation identifies this blank start.
+	// Incarnation identifies this start of the store, which begins empty.
 	Incarnation string
 }
 
-// Store is the stand-in. Make one with New.
+// Store is the stand-in server. Create one with New.
 type Store struct {
-	options Options
-	link    *rate.Limiter
-	disk    *rate.Limiter
-	// Faults can be set while the store runs.
+	options     Options
+	linkLimiter *rate.Limiter
+	diskLimiter *rate.Limiter
+	// Faults can be changed while the store runs.
 	Faults fault.Injector
 
-	mu          sync.Mutex
-	incarnation string
-	restarts    int
-	objects     map[uint64]*object
-	next        uint64
-	generation  uint64
-	used        int64
-	sent        int64
-	received    int64
+	mu            sync.Mutex
+	incarnation   string
+	restarts      int
+	objects       map[uint64]*object
+	lastID        uint64
+	generation    uint64
+	usedBytes     int64
+	sentBytes     int64
+	receivedBytes int64
 }
 
 // New returns an empty store.
 func New(o Options) *Store {
 	s := &Store{options: o, incarnation: o.Incarnation, objects: map[uint64]*object{}}
-	s.link = rate.NewLimiter(rate.Limit(o.LinkRate), chunkBytes)
-	s.disk = rate.NewLimiter(rate.Limit(o.DiskRate), chunkBytes)
-	s.Faults.OnReset = s.lose
+	s.linkLimiter = rate.NewLimiter(rate.Limit(o.LinkRate), chunkBytes)
+	s.diskLimiter = rate.NewLimiter(rate.Limit(o.DiskRate), chunkBytes)
+	s.Faults.OnReset = s.reset
 	return s
 }
 
-// Handler serves the store's protocol.
+// Handler returns the handler for the store's protocol and the fault settings.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(fault.Path, &s.Faults)
@@ -95,22 +97,23 @@
 	return mux
 }
 
-// lose forgets everything and starts again under a new incarnation.
-func (s *Store) lose() {
+// reset simulates a restart without data: it discards all objects and changes the
+// incarnation.
+func (s *Store) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.restarts++
 	s.incarnation = s.options.Incarnation + "-" + strconv.Itoa(s.restarts)
 	s.objects = map[uint64]*object{}
-	s.next = 0
+	s.lastID = 0
 	s.generation = 0
-	s.used = 0
+	s.usedBytes = 0
 }
 
 func (s *Store) usage(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	free := s.options.MemoryBytes + s.options.DiskBytes - s.used
+	free := s.options.MemoryBytes + s.options.DiskBytes - s.usedBytes
 	if s.Faults.Get().FillUp {
 		free = 0
 	}
@@ -120,8 +123,8 @@
 		DiskBytes:     s.options.DiskBytes,
 		FreeBytes:     free,
 		Objects:       len(s.objects),
-		SentBytes:     s.sent,
-		ReceivedBytes: s.received,
+		SentBytes:     s.sentBytes,
+		ReceivedBytes: s.receivedBytes,
 	})
 }
 
@@ -134,20 +137,20 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Faults.Get().FillUp || s.used+in.Length > s.options.MemoryBytes+s.options.DiskBytes {
+	if s.Faults.Get().FillUp || s.usedBytes+in.Length > s.options.MemoryBytes+s.options.DiskBytes {
 		http.Error(w, "no space left", http.StatusInsufficientStorage)
 		return
 	}
-	s.next++
+	s.lastID++
 	s.generation++
-	s.objects[s.next] = &object{
+	s.objects[s.lastID] = &object{
 		generation: s.generation,
 		label:      in.Label,
 		length:     in.Length,
-		onDisk:     s.used+in.Length > s.options.MemoryBytes,
+		onDisk:     s.usedBytes+in.Length > s.options.MemoryBytes,
 	}
-	s.used += in.Length
-	writeJSON(w, blocks.Name{Object: s.next, Generation: s.generation, Incarnation: s.incarnation})
+	s.usedBytes += in.Length
+	writeJSON(w, blocks.Name{Object: s.lastID, Generation: s.generation, Incarnation: s.incarnation})
 }
 
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
@@ -179,8 +182,9 @@
 	writeJSON(w, out)
 }
 
-// named finds the object that a request names, whole and in the wanted phase.
-func (s *Store) named(r *http.Request, want phase) (*object, bool) {
+// lookUp returns the object with the request's id, generation and incarnation if
+// it is in phase want. The caller must hold s.mu.
+func (s *Store) lookUp(r *http.Request, want phase) (*object, bool) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err != nil {
 		return nil, false
@@ -197,23 +201,23 @@
 	return o, true
 }
 
-const mismatch = "no such object in that phase, generation and incarnation"
+const mismatchMessage = "no such object in that phase, generation and incarnation"
 
 func (s *Store) write(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	o, ok := s.named(r, writing)
+	o, ok := s.lookUp(r, writing)
 	s.mu.Unlock()
 	if !ok {
-		http.Error(w, mismatch, http.StatusConflict)
+		http.Error(w, mismatchMessage, http.StatusConflict)
 		return
 	}
 	buf := make([]byte, chunkBytes)
 	for {
 		n, err := r.Body.Read(buf)
-		s.link.WaitN(r.Context(), n)
+		s.linkLimiter.WaitN(r.Context(), n)
 		s.mu.Lock()
 		o.data = append(o.data, buf[:n]...)
-		s.received += int64(n)
+		s.receivedBytes += int64(n)
 		s.mu.Unlock()
 		if err == io.EOF {
 			return
@@ -234,9 +238,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o, ok := s.named(r, writing)
+	o, ok := s.lookUp(r, writing)
 	if !ok || in.Length != o.length || int64(len(o.data)) != in.Length || blocks.Checksum(o.data) != in.Checksum {
-		http.Error(w, mismatch+", or its length or checksum differs", http.StatusConflict)
+		http.Error(w, mismatchMessage+", or its length or checksum differs", http.StatusConflict)
 		return
 	}
 	o.phase = sealed
@@ -244,16 +248,16 @@
 
 func (s *Store) read(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	o, ok := s.named(r, sealed)
+	o, ok := s.lookUp(r, sealed)
 	if ok {
 		o.readers++
 	}
 	s.mu.Unlock()
 	if !ok {
-		http.Error(w, mismatch, http.StatusConflict)
+		http.Error(w, mismatchMessage, http.StatusConflict)
 		return
 	}
-	defer s.leave(r, o)
+	defer s.releaseReader(r, o)
 	if r.URL.Query().Has(blocks.ParamCheck) {
 		return
 	}
@@ -262,12 +266,12 @@
 }
 
 func (s *Store) send(ctx context.Context, w io.Writer, o *object) {
-	for at := 0; at < len(o.data); at += chunkBytes {
-		chunk := o.data[at:min(at+chunkBytes, len(o.data))]
+	for offset := 0; offset < len(o.data); offset += chunkBytes {
+		chunk := o.data[offset:min(offset+chunkBytes, len(o.data))]
 		if o.onDisk {
-			s.disk.WaitN(ctx, len(chunk))
+			s.diskLimiter.WaitN(ctx, len(chunk))
 		}
-		err := s.link.WaitN(ctx, len(chunk))
+		err := s.linkLimiter.WaitN(ctx, len(chunk))
 		if err != nil {
 			return
 		}
@@ -276,43 +280,44 @@
 			return
 		}
 		s.mu.Lock()
-		s.sent += int64(len(chunk))
+		s.sentBytes += int64(len(chunk))
 		s.mu.Unlock()
 	}
 }
 
-// leave ends a read; the last reader of an object that is being freed frees it.
-func (s *Store) leave(r *http.Request, o *object) {
+// releaseReader ends a read, and removes an object in phase freeing when its last
+// read has ended.
+func (s *Store) releaseReader(r *http.Request, o *object) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o.readers--
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if o.phase == freeing && o.readers == 0 && s.objects[id] == o {
-		s.drop(id, o)
+		s.remove(id, o)
 	}
 }
 
 func (s *Store) free(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o, ok := s.named(r, sealed)
+	o, ok := s.lookUp(r, sealed)
 	if !ok {
-		o, ok = s.named(r, writing)
+		o, ok = s.lookUp(r, writing)
 	}
 	if !ok {
-		http.Error(w, mismatch, http.StatusConflict)
+		http.Error(w, mismatchMessage, http.StatusConflict)
 		return
 	}
 	o.phase = freeing
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if o.readers == 0 {
-		s.drop(id, o)
+		s.remove(id, o)
 	}
 }
 
-func (s *Store) drop(id uint64, o *object) {
+func (s *Store) remove(id uint64, o *object) {
 	delete(s.objects, id)
-	s.used -= o.length
+	s.usedBytes -= o.length
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
@@ -320,7 +325,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Len returns how many objects there are, sealed or not.
+// Len returns the number of objects, in any phase.
 func (s *Store) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
