--- a/internal/await/await.go
+++ b/internal/await/await.go
@@ -1,4 +1,4 @@
-// Package await lets tests wait for what they expect instead of for a time.
+// Package await lets tests wait for a condition instead of sleeping for a fixed time.
 package await
 
 import (
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// pace is how often it is looked whether what is waited for has come true.
-const pace = 5 * time.Millisecond
+// pollInterval is how often the condition is checked.
+const pollInterval = 5 * time.Millisecond
 
-// Until returns once ok does, and fails the test when it does not within limit.
+// Until polls ok until it returns true, and fails the test if that takes longer than limit. what
+// describes the condition in the failure message.
 func Until(t testing.TB, limit time.Duration, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.After(limit)
-	ticker := time.NewTicker(pace)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for !ok() {
 		select {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,12 @@
-// Package clock is the product's one clock. It goes on while the machine is suspended and never
-// steps, so that what was believed before a suspension is as old as it really is.
+// Package clock provides the monotonic clock of all processes. It is based on CLOCK_BOOTTIME: it
+// includes the time that the machine was suspended and is not affected by steps of the wall clock,
+// so that the age of state from before a suspension is computed correctly.
 //
-// Go's own clock stands still while a machine is suspended: after a time.Now from before, a lease,
-// a deadline or a piece of knowledge would seem as fresh as when the machine fell asleep. Times of
-// this clock are compared with one another only. The runtime's timers and the deadlines of sockets
-// go by Go's clock: what a timer waits for is looked at again by this one, and Deadline translates.
+// Go's monotonic clock stops while the machine is suspended: measured against a time.Now from
+// before the suspension, a lease, a deadline or cached state would seem as fresh as when the
+// suspension began. Times of this clock must only be compared with one another. Runtime timers and
+// socket deadlines use Go's clock: after a timer fires, its condition is checked again against this
+// clock, and Deadline converts a time for them.
 package clock
 
 import (
@@ -16,24 +18,25 @@
 )
 
 const (
-	// watchInterval is how often it is looked whether the machine was suspended, and least how
-	// long a suspension is that counts: below it, it is no different from a busy machine.
+	// watchInterval is how often Watch checks for a suspension. minSuspension is the shortest one
+	// that it reports: shorter ones cannot be told from scheduling delay on a busy machine.
 	watchInterval = 250 * time.Millisecond
-	least         = 250 * time.Millisecond
+	minSuspension = 250 * time.Millisecond
 )
 
-// start is when this process began, by the time of day, and startBoot by the kernel's clock; start
-// has no reading of Go's clock, so that differences are those of the kernel's.
+// start is the wall clock time at which this process started, and startBoot the CLOCK_BOOTTIME
+// reading. Round(0) strips Go's monotonic reading from start, so that differences between times
+// are those of CLOCK_BOOTTIME.
 var (
 	start     = time.Now().Round(0)
-	startBoot = boot()
+	startBoot = sinceBoot()
 )
 
-// source replaces the kernel's clock; it is nil but in tests.
+// source overrides CLOCK_BOOTTIME in tests; it is nil otherwise.
 var source atomic.Pointer[func() time.Duration]
 
-// boot returns the time since the machine started, suspensions included.
-func boot() time.Duration {
+// sinceBoot returns the time since the machine booted, including time suspended.
+func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts)
 	if err != nil {
@@ -43,38 +46,38 @@
 }
 
 func elapsed() time.Duration {
-	if replaced := source.Load(); replaced != nil {
-		return (*replaced)()
+	if replacement := source.Load(); replacement != nil {
+		return (*replacement)()
 	}
-	return boot() - startBoot
+	return sinceBoot() - startBoot
 }
 
-// Now returns the present time: the time of day at which the process began, and what has passed
-// since. Steps of the time of day do not change it.
+// Now returns the current time: the wall clock time at which the process started plus the time
+// elapsed since. Steps of the wall clock do not change it.
 func Now() time.Time { return start.Add(elapsed()) }
 
-// Since returns how long a time of this clock lies back.
+// Since returns the time elapsed since t, a time of this clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how far a time of this clock lies ahead.
+// Until returns the duration until t, a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Deadline returns a time of this clock as the runtime's timers and sockets take it. It does not
-// move with a suspension that is yet to come.
+// Deadline converts a time of this clock to Go's clock, for runtime timers and socket deadlines. The
+// result does not account for suspensions after the call.
 func Deadline(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
-// Replace has the clock follow another one until restore is called, for tests: it returns what has
-// passed since the process began.
-func Replace(by func() time.Duration) (restore func()) {
-	before := source.Swap(&by)
-	return func() { source.Store(before) }
+// Replace makes the clock use elapsedFunc, which returns the time since the process started, until
+// restore is called. It is for tests.
+func Replace(elapsedFunc func() time.Duration) (restore func()) {
+	previous := source.Swap(&elapsedFunc)
+	return func() { source.Store(previous) }
 }
 
-// Elapsed returns what has passed since the process began.
+// Elapsed returns the time since the process started.
 func Elapsed() time.Duration { return elapsed() }
 
-// Watch calls woke after each suspension of the machine with how long it was, until ctx ends.
-func Watch(ctx context.Context, woke func(time.Duration)) {
+// Watch calls onResume after each suspension of the machine with its duration, until ctx is done.
+func Watch(ctx context.Context, onResume func(time.Duration)) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	lastGo, last := time.Now(), elapsed()
@@ -85,8 +88,8 @@
 			return
 		}
 		nowGo, now := time.Now(), elapsed()
-		if missed := now - last - nowGo.Sub(lastGo); missed >= least {
-			woke(missed)
+		if suspended := now - last - nowGo.Sub(lastGo); suspended >= minSuspension {
+			onResume(suspended)
 		}
 		lastGo, last = nowGo, now
 	}
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -1,4 +1,4 @@
-// Package clocktest lets tests suspend the machine, as far as the product's clock tells.
+// Package clocktest simulates suspensions of the machine for tests of code that uses package clock.
 package clocktest
 
 import (
@@ -9,17 +9,18 @@
 	"github.com/shedrock/shedrock/internal/clock"
 )
 
-// Machine is a machine that tests suspend. Make one with New; tests that have one do not run
-// beside others of their package that need the clock.
-type Machine struct{ asleep atomic.Int64 }
+// Machine simulates a machine that can be suspended. Create one with New. It replaces the clock of
+// the whole process, so a test that uses one must not run in parallel with other tests of its
+// package that depend on the clock.
+type Machine struct{ suspended atomic.Int64 }
 
-// New replaces the product's clock until the test ends.
+// New replaces the source of package clock until the test ends.
 func New(t testing.TB) *Machine {
 	m := &Machine{}
 	began, before := time.Now(), clock.Elapsed()
-	t.Cleanup(clock.Replace(func() time.Duration { return before + time.Since(began) + time.Duration(m.asleep.Load()) }))
+	t.Cleanup(clock.Replace(func() time.Duration { return before + time.Since(began) + time.Duration(m.suspended.Load()) }))
 	return m
 }
 
-// Suspend has the product's clock go on by some time that Go's clock does not count.
-func (m *Machine) Suspend(d time.Duration) { m.asleep.Add(int64(d)) }
+// Suspend advances package clock by d without advancing Go's clock.
+func (m *Machine) Suspend(d time.Duration) { m.suspended.Add(int64(d)) }
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -1,5 +1,5 @@
-// Package layers_test holds the packages to their layers: transport, protocol,
-// coordination and state, each of which imports only those after it.
+// Package layers_test checks rules on the source code. The packages form the layers cli, transport,
+// standin, protocol, coordination and state, each of which may import only itself and later ones.
 package layers_test
 
 import (
@@ -17,14 +17,15 @@
 const (
 	module = "github.com/shedrock/shedrock/"
 	root   = module + "internal/"
-	// translator speaks the platform's words; only the command line and it know them.
-	translator = module + "platform"
+	// platformPackage translates the platform's wire format; only the command line may import it.
+	platformPackage = module + "platform"
 )
 
-// depth is a layer's place; a package may import its own layer and deeper ones.
-// Stand-ins are outside systems, and may use what an outside system would: the
-// protocols and the values.
-func depth(path string) int {
+// layerIndex returns the index of the layer that a package belongs to, or -1; a package
+// may import its own layer and those with a higher index. Stand-ins simulate external
+// systems, and may import what an external system would use: the protocols and the
+// value types.
+func layerIndex(path string) int {
 	layers := []string{"cli", "transport", "standin", "protocol", "coordination", "state"}
 	for i, layer := range layers {
 		if strings.HasPrefix(path, root+layer) {
@@ -50,12 +51,12 @@
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		from := depth(p.ImportPath)
+		from := layerIndex(p.ImportPath)
 		for _, i := range p.Imports {
-			if i == translator && p.ImportPath != root+"cli" {
+			if i == platformPackage && p.ImportPath != root+"cli" {
 				t.Errorf("%s imports %s", p.ImportPath, i)
 			}
-			if to := depth(i); from >= 0 && to >= 0 && to < from {
+			if to := layerIndex(i); from >= 0 && to >= 0 && to < from {
 				t.Errorf("%s imports %s", p.ImportPath, i)
 			}
 		}
@@ -68,26 +69,27 @@
 	}
 }
 
-// platformWords are header names, paths and fields of the platform's wire.
-var platformWords = regexp.MustCompile(`"(Deadline-Ms|Server-Stamp|Prefix-Hash|Token-Usage|Not-Executed|Expect-Instance|Expect-Version|` +
+// platformNames matches header names, paths, methods and fields of the platform's wire format.
+var platformNames = regexp.MustCompile(`"(Deadline-Ms|Server-Stamp|Prefix-Hash|Token-Usage|Not-Executed|Expect-Instance|Expect-Version|` +
 	`Kv-[A-Z][a-z]+|Tenant-Id|Cache-Salt|Api-Key|Request-Id|Last-Event-Id|Wait-Ms)"|` +
 	`Instances\.(Heartbeat|Deregister)|Config\.(Put|Get)|/v1/(order\b|report\b|kv-|version-put|ready\b)|` +
 	`kv_store_addr|path_prefix|traffic_split|boot_epoch|next_page_token|cold_remaining_ms`)
 
-// bareDials open connections that wait for many minutes for a peer that fell silent.
-var bareDials = regexp.MustCompile(`net\.Dialer\{|net\.Dial(Timeout)?\(|http\.Client\{(Timeout: \w+)?\}|http\.Default(Client|Transport)|http\.(Get|Post)\(`)
+// directDials matches code that opens connections on which an unresponsive peer goes undetected
+// for many minutes.
+var directDials = regexp.MustCompile(`net\.Dialer\{|net\.Dial(Timeout)?\(|http\.Client\{(Timeout: \w+)?\}|http\.Default(Client|Transport)|http\.(Get|Post)\(`)
 
-// A connection may fall silent for good while new ones work. Whatever connections processes open,
-// package netdial opens them, so that they notice.
-func TestConnectionsNoticeASilentPeer(t *testing.T) {
+// A connection may stop delivering data for good while new connections to the same peer work.
+// Processes must open all their connections with package netdial, which detects this.
+func TestConnectionsAreOpenedByNetdial(t *testing.T) {
 	read := 0
 	for _, folder := range []string{"../transport", "../../platform", "../cli"} {
-		read += eachLine(t, folder, func(place, line string) {
-			if strings.Contains(place, "_test.go") || strings.Contains(place, "/netdial/") {
+		read += eachLine(t, folder, func(pos, line string) {
+			if strings.Contains(pos, "_test.go") || strings.Contains(pos, "/netdial/") {
 				return
 			}
-			if bare := bareDials.FindString(line); bare != "" {
-				t.Errorf("%s has %s", place, bare)
+			if dial := directDials.FindString(line); dial != "" {
+				t.Errorf("%s has %s", pos, dial)
 			}
 		})
 	}
@@ -96,36 +98,37 @@
 	}
 }
 
-// otherClocks read Go's clock, which stands still while the machine is suspended.
-var otherClocks = regexp.MustCompile(`time\.(Now\(\)|Since\(|Until\()`)
+// goClockReads matches reads of Go's clock, which stops while the machine is suspended.
+var goClockReads = regexp.MustCompile(`time\.(Now\(\)|Since\(|Until\()`)
 
-// ownClock are the places that need Go's clock or the time of day: deadlines of sockets, the time
-// that a connection took to set up, what callers' keys and log lines carry, and stand-ins.
-var ownClock = regexp.MustCompile(`SetWriteDeadline\(|/netdial/|c\.At = |/logqueue\.go|/cli/standin\.go`)
+// goClockAllowed matches the code that needs Go's clock or the wall clock: socket deadlines,
+// connection set-up times, the timestamps in callers' keys and log lines, and stand-ins.
+var goClockAllowed = regexp.MustCompile(`SetWriteDeadline\(|/netdial/|c\.At = |/logqueue\.go|/cli/standin\.go`)
 
-// Ages, deadlines and silences are counted by package clock, which goes on while the machine is
-// suspended.
-func TestAgesAreCountedByOneClock(t *testing.T) {
+// Ages, deadlines and idle times must be measured with package clock, which includes the time that
+// the machine was suspended.
+func TestElapsedTimeIsReadFromPackageClock(t *testing.T) {
 	for _, folder := range []string{"../transport", "../../platform", "../cli", "../coordination", "../state", "../protocol"} {
-		eachLine(t, folder, func(place, line string) {
-			if strings.Contains(place, "_test.go") || ownClock.MatchString(place+" "+line) {
+		eachLine(t, folder, func(pos, line string) {
+			if strings.Contains(pos, "_test.go") || goClockAllowed.MatchString(pos+" "+line) {
 				return
 			}
-			if other := otherClocks.FindString(line); other != "" {
-				t.Errorf("%s has %s", place, other)
+			if read := goClockReads.FindString(line); read != "" {
+				t.Errorf("%s has %s", pos, read)
 			}
 		})
 	}
 }
 
-// The platform's words are translated in one place, tests included, but for the pattern here.
-func TestPlatformsWordsStayInOnePlace(t *testing.T) {
-	read := eachLine(t, "../..", func(place, line string) {
-		if strings.HasPrefix(place, "../../platform/") || strings.Contains(place, "layers_test.go") {
+// Names of the platform's wire format may occur only in package platform. This also holds for tests,
+// except for the pattern in this file.
+func TestPlatformNamesOccurOnlyInPackagePlatform(t *testing.T) {
+	read := eachLine(t, "../..", func(pos, line string) {
+		if strings.HasPrefix(pos, "../../platform/") || strings.Contains(pos, "layers_test.go") {
 			return
 		}
-		if word := platformWords.FindString(line); word != "" {
-			t.Errorf("%s has %s", place, word)
+		if name := platformNames.FindString(line); name != "" {
+			t.Errorf("%s has %s", pos, name)
 		}
 	})
 	if read < 100 {
@@ -133,9 +136,9 @@
 	}
 }
 
-// eachLine calls look with each line of the Go files below a folder, and with its place; it returns
-// how many files there are.
-func eachLine(t *testing.T, folder string, look func(place, line string)) (files int) {
+// eachLine calls visit with the position (path:line) and text of each line of the Go files below a
+// folder, and returns the number of files.
+func eachLine(t *testing.T, folder string, visit func(pos, line string)) (files int) {
 	t.Helper()
 	err := filepath.WalkDir(folder, func(path string, d os.DirEntry, err error) error {
 		if err != nil {
@@ -153,7 +156,7 @@
 			return err
 		}
 		for i, line := range strings.Split(string(text), "\n") {
-			look(fmt.Sprintf("%s:%d", path, i+1), line)
+			visit(fmt.Sprintf("%s:%d", path, i+1), line)
 		}
 		return nil
 	})
--- a/internal/mutate/mutate.go
+++ b/internal/mutate/mutate.go
@@ -1,5 +1,5 @@
-// Package mutate makes variants of texts for tests of decoders: the same ones for the same seed,
-// so that a test gives the same verdict each run, where a fuzzer draws new ones.
+// Package mutate generates mutated inputs for tests of decoders. The same seed yields the same
+// inputs, so that a test gives the same result on each run, whereas a fuzzer generates new ones.
 package mutate
 
 import (
@@ -8,23 +8,23 @@
 	"slices"
 )
 
-// mostChanges bounds the changes that lie between a text and its variant.
-const mostChanges = 4
+// maxMutations is the maximum number of mutations applied to an input.
+const maxMutations = 4
 
-// tokens are what decoders tend to stumble on.
+// tokens are inserted into inputs; they are values that decoders often handle incorrectly.
 var tokens = []string{
 	"null", "true", "-1", "0", "1.5", "1e999", "-1e999", "9223372036854775808", "18446744073709551616", `""`, `"`, "{", "}", "[", "]",
 	"[[[[[[[[", ":", ",", "\\", "\x00", "\xff\xfe", "\u2028", "\r\n", " ", "NaN", `{"a":`, `"ready"`, "%s",
 }
 
-// Variants lists n variants of some texts.
+// Variants yields n inputs, each a mutation of one of texts chosen at random.
 func Variants(seed uint64, n int, texts ...string) iter.Seq[[]byte] {
 	random := rand.New(rand.NewPCG(seed, 0x3a7))
 	return func(yield func([]byte) bool) {
 		for range n {
 			text := []byte(texts[random.IntN(len(texts))])
-			for range 1 + random.IntN(mostChanges) {
-				text = change(random, text)
+			for range 1 + random.IntN(maxMutations) {
+				text = mutate(random, text)
 			}
 			if !yield(text) {
 				return
@@ -33,8 +33,8 @@
 	}
 }
 
-// change makes one change.
-func change(random *rand.Rand, text []byte) []byte {
+// mutate applies one random mutation to text.
+func mutate(random *rand.Rand, text []byte) []byte {
 	from := random.IntN(len(text) + 1)
 	to := min(len(text), from+random.IntN(12))
 	switch random.IntN(6) {
