--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -105,8 +105,8 @@
 	return mux
 }
 
-// Ran returns how many runs began.
-func (e *Engine) Ran() int {
+// RunsStarted returns how many runs began.
+func (e *Engine) RunsStarted() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	total := 0
--- a/internal/standin/engine/reports.go
+++ b/internal/standin/engine/reports.go
@@ -69,7 +69,7 @@
 		http.Error(w, "version: a weight version is needed", http.StatusBadRequest)
 		return
 	}
-	state, ok := e.Take(in)
+	state, ok := e.ApplyOrder(in)
 	if !ok {
 		http.Error(w, "an order with a higher token was seen", http.StatusConflict)
 		return
@@ -77,8 +77,8 @@
 	writeJSON(w, state)
 }
 
-// Take takes an order; ok is false when a higher token was seen.
-func (e *Engine) Take(in protocol.Order) (state protocol.OrderState, ok bool) {
+// ApplyOrder takes an order; ok is false when a higher token was seen.
+func (e *Engine) ApplyOrder(in protocol.Order) (state protocol.OrderState, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.ChecksOrders && in.Token < e.token {
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -58,11 +58,11 @@
 	if i > 0 {
 		return fmt.Sprintf(" w%d", i)
 	}
-	return Mark(text)
+	return FirstWord(text)
 }
 
-// Mark is the first word of the answer to a prompt.
-func Mark(text []byte) string {
+// FirstWord is the first word of the answer to a prompt.
+func FirstWord(text []byte) string {
 	sum := sha256.Sum256(text)
 	return "answer-" + hex.EncodeToString(sum[:4])
 }
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -73,8 +73,8 @@
 	writeJSON(w, out)
 }
 
-// Imported returns how many blocks were taken from stores.
-func (e *Engine) Imported() int {
+// ImportedBlocks returns how many blocks were taken from stores.
+func (e *Engine) ImportedBlocks() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.imported
--- a/internal/transport/entry/fixture_test.go
+++ b/internal/transport/entry/fixture_test.go
@@ -242,7 +242,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return engine.Mark(req.Text())
+	return engine.FirstWord(req.Text())
 }
 
 // parsedStream is the content of an event stream; complete is set when it ended with
--- a/internal/transport/entry/keep_test.go
+++ b/internal/transport/entry/keep_test.go
@@ -39,11 +39,11 @@
 	eventually(t, "the context is stored", func() bool {
 		return strings.Contains(r.get(t, "/metrics"), `shedrock_link_bytes_total{direction="in"`)
 	})
-	before := s.engines[0].Imported()
+	before := s.engines[0].ImportedBlocks()
 	eventually(t, "the context is fetched for a repeated prompt", func() bool {
 		r.evictContexts(t)
 		r.send(t, "POST", "/v1/chat/completions", chat(longPrompt, false, 1))
-		return s.engines[0].Imported() > before
+		return s.engines[0].ImportedBlocks() > before
 	})
 	r.evictContexts(t)
 }
@@ -127,7 +127,7 @@
 	eventually(t, "prompts are answered with the new version", func() bool {
 		return strings.Contains(e.send(t, "POST", "/v1/chat/completions", body).body, firstWord(t, body))
 	})
-	if s.engines[0].Imported() != 0 {
+	if s.engines[0].ImportedBlocks() != 0 {
 		t.Fatal("a context of another weight version was fetched from the store")
 	}
 	if e.metric(t, "shedrock_reused_tokens_total") != 0 {
@@ -207,7 +207,7 @@
 	}
 	defer res.Body.Close()
 	answer, _ := io.ReadAll(res.Body)
-	if e.Imported() != 0 || asked != 2 || !strings.Contains(string(answer), "check after the last byte") {
-		t.Fatalf("imported %d after %d requests: %s", e.Imported(), asked, answer)
+	if e.ImportedBlocks() != 0 || asked != 2 || !strings.Contains(string(answer), "check after the last byte") {
+		t.Fatalf("imported %d after %d requests: %s", e.ImportedBlocks(), asked, answer)
 	}
 }
--- a/internal/transport/entry/overload_test.go
+++ b/internal/transport/entry/overload_test.go
@@ -38,12 +38,12 @@
 	})
 	var runsStarted []int
 	for range 20 {
-		before := s.engines[0].Ran()
+		before := s.engines[0].RunsStarted()
 		a := e.send(t, "POST", "/v1/chat/completions", chat("polite", false, 1), "Authorization", "Bearer "+otherKey)
 		if a.status != http.StatusOK {
 			t.Errorf("status %d: %s", a.status, a.body)
 		}
-		runsStarted = append(runsStarted, s.engines[0].Ran()-before)
+		runsStarted = append(runsStarted, s.engines[0].RunsStarted()-before)
 	}
 	stop()
 	callers.Wait()
--- a/internal/transport/entry/path_test.go
+++ b/internal/transport/entry/path_test.go
@@ -49,7 +49,7 @@
 			e.send(t, "POST", "/v1/chat/completions", chat(strings.Repeat(other, 2000), false, 1))
 		}
 		e.send(t, "POST", "/v1/chat/completions", chat(longPrompt, false, 1))
-		return s.engines[0].Imported() > 0
+		return s.engines[0].ImportedBlocks() > 0
 	})
 }
 
@@ -106,7 +106,7 @@
 			}
 		})
 	}
-	if n := s.engines[0].Ran(); n != 0 {
+	if n := s.engines[0].RunsStarted(); n != 0 {
 		t.Fatalf("%d refused requests ran", n)
 	}
 }
--- a/internal/transport/entry/stale_test.go
+++ b/internal/transport/entry/stale_test.go
@@ -39,10 +39,10 @@
 	e := s.start()
 	eventually(t, "the preferred engine is used", func() bool {
 		a := e.send(t, "POST", "/v1/chat/completions", chat("hello", false, 1))
-		return a.status == http.StatusOK && s.engines[0].Ran() > 0
+		return a.status == http.StatusOK && s.engines[0].RunsStarted() > 0
 	})
 	s.docs["models"] = strings.Replace(s.docs["models"], "v1", "v2", 1)
-	s.engines[0].Take(engine.Order{Token: 1, Version: "v2"})
+	s.engines[0].ApplyOrder(engine.Order{Token: 1, Version: "v2"})
 	eventually(t, "the weights are swapped", func() bool { return s.engines[0].Version() == "v2" })
 	revision := e.Applied().Revision
 	s.apply("models", 2)
--- a/internal/transport/entry/traps_test.go
+++ b/internal/transport/entry/traps_test.go
@@ -150,7 +150,7 @@
 	if diff := cmp.Diff(want, got.text); diff != "" || !got.complete {
 		t.Fatalf("complete %v: %s", got.complete, diff)
 	}
-	if n := s.engines[0].Ran(); n != 1 {
+	if n := s.engines[0].RunsStarted(); n != 1 {
 		t.Fatalf("the prompt ran %d times", n)
 	}
 }
@@ -266,7 +266,7 @@
 			return strings.Contains(e.send(t, "POST", "/v1/chat/completions", body).body, firstWord(t, body))
 		})
 	}
-	if n := s.engines[0].Ran(); n != 0 {
+	if n := s.engines[0].RunsStarted(); n != 0 {
 		t.Fatalf("the engine with another weight version ran %d prompts", n)
 	}
 }
@@ -284,7 +284,7 @@
 			t.Fatalf("answer %+v", a)
 		}
 	}
-	if n := s.engines[0].Ran(); n != 0 {
+	if n := s.engines[0].RunsStarted(); n != 0 {
 		t.Fatalf("the leaving engine ran %d prompts", n)
 	}
 }
@@ -372,18 +372,18 @@
 	address, _, _ := strings.Cut(rest, "\"")
 	list.Store(`{"instances":[{"address":"` + address + `","state":"leaving"}]}`)
 	eventually(t, "new requests go only to the other engine", func() bool {
-		before := s.engines[0].Ran()
+		before := s.engines[0].RunsStarted()
 		for i := range 8 {
 			e.send(t, "POST", "/v1/chat/completions", chat(fmt.Sprint("prompt ", i), false, 1))
 		}
-		return s.engines[0].Ran() == before
+		return s.engines[0].RunsStarted() == before
 	})
 	list.Store(`{"instances":[{"address":"` + address + `","state":"live"}]}`)
 	eventually(t, "the engine is used again", func() bool {
-		before := s.engines[0].Ran()
+		before := s.engines[0].RunsStarted()
 		for i := range 8 {
 			e.send(t, "POST", "/v1/chat/completions", chat(fmt.Sprint("prompt ", i), false, 1))
 		}
-		return s.engines[0].Ran() > before
+		return s.engines[0].RunsStarted() > before
 	})
 }
