--- a/internal/protocol/openai/answer.go
+++ b/internal/protocol/openai/answer.go
@@ -31,15 +31,15 @@
 	return b
 }
 
-// RunMark finds a run's id inside the JSON of an answer or of an event without
+// RunIDMatcher finds a run's id inside the JSON of an answer or of an event without
 // decoding it. A caller's text cannot forge the mark, because the quotes inside
 // a JSON string are escaped:
 //
 //	{"id":"run-1","choices":[{"delta":{"content":"\"id\":\"run-2\""}}]}
-type RunMark []byte
+type RunIDMatcher []byte
 
-// NewRunMark returns the mark of a run.
-func NewRunMark(run string) RunMark { return RunMark(`"id":"` + run + `"`) }
+// NewRunIDMatcher returns the mark of a run.
+func NewRunIDMatcher(run string) RunIDMatcher { return RunIDMatcher(`"id":"` + run + `"`) }
 
-// In reports whether the JSON belongs to the run.
-func (m RunMark) In(data []byte) bool { return bytes.Contains(data, m) }
+// Matches reports whether the JSON belongs to the run.
+func (m RunIDMatcher) Matches(data []byte) bool { return bytes.Contains(data, m) }
--- a/internal/transport/upstream/events.go
+++ b/internal/transport/upstream/events.go
@@ -23,13 +23,13 @@
 type eventStream struct {
 	body   io.ReadCloser
 	reader *openai.EventReader
-	mark   openai.RunMark
+	mark   openai.RunIDMatcher
 	// last is the number of the last event that was returned.
 	last uint64
 }
 
 func newEventStream(a *exchange.Attempt, body io.ReadCloser) *eventStream {
-	return &eventStream{body: body, reader: openai.NewEventReader(body), mark: openai.NewRunMark(a.Run), last: a.After}
+	return &eventStream{body: body, reader: openai.NewEventReader(body), mark: openai.NewRunIDMatcher(a.Run), last: a.After}
 }
 
 // Next returns the next event. It returns io.EOF only after the final marker of a complete
@@ -49,7 +49,7 @@
 	if err != nil || number != e.last+1 {
 		return event, false, errEventGap
 	}
-	if !e.mark.In(read.Data) {
+	if !e.mark.Matches(read.Data) {
 		return event, false, errRunMismatch
 	}
 	e.last = number
--- a/internal/transport/upstream/send.go
+++ b/internal/transport/upstream/send.go
@@ -107,7 +107,7 @@
 	if err != nil || len(body) > maxResponseBytes {
 		return exchange.Broken{Err: errIncomplete}
 	}
-	if a.Prompt != nil && res.StatusCode == http.StatusOK && !openai.NewRunMark(a.Run).In(body) {
+	if a.Prompt != nil && res.StatusCode == http.StatusOK && !openai.NewRunIDMatcher(a.Run).Matches(body) {
 		return exchange.Broken{Err: errRunMismatch}
 	}
 	return exchange.Whole{Head: head, Body: body}
