--- a/internal/protocol/classify/classify.go
+++ b/internal/protocol/classify/classify.go
@@ -1,8 +1,8 @@
-// Package classify turns what happened on a connection into an outcome.
+// Package classify maps the result of an HTTP request to an upstream to an outcome.
 //
-// It alone may say NotRun of a request that was sent, and it says so in two
-// cases only: no byte of the request reached the upstream, or the upstream
-// refused this very run by its id.
+// Only this package may classify a request as NotRun after an attempt to send
+// it, and it does so in two cases only: no byte of the request was written to
+// the connection, or the upstream refused this run and echoed its id.
 package classify
 
 import (
@@ -13,23 +13,23 @@
 	"github.com/shedrock/shedrock/internal/state/outcome"
 )
 
-// Exchange is what is known of one request to an upstream.
+// Exchange describes one request to an upstream and its response, if any.
 type Exchange struct {
-	// Run and Attempt are what was sent.
+	// Run and Attempt are the run's id and the attempt's number that were sent.
 	Run     string
 	Attempt int
-	// Written counts the bytes of the request handed to the connection; headers
-	// count, and so does a byte that the other side may never have seen.
+	// Written counts the request's bytes written to the connection, headers
+	// included, whether or not the upstream received them.
 	Written int64
-	// Err is the transport's error, or nil when there is an answer.
+	// Err is the transport's error, or nil if there is a response.
 	Err error
-	// Status and Header are those of the answer.
+	// Status and Header are those of the response.
 	Status int
 	Header http.Header
 }
 
 // Outcome classifies an exchange whose body has not been read yet. Answered
-// means that the answer is this run's own, whatever its status.
+// means that the response echoes this run and attempt, whatever its status.
 func Outcome(x Exchange) outcome.Outcome {
 	if x.Err != nil {
 		if x.Written == 0 {
@@ -52,7 +52,7 @@
 	return outcome.Answered{Status: x.Status}
 }
 
-// Echoed reports whether the answer names the run and the attempt that were sent.
+// Echoed reports whether the response's headers echo the run and the attempt that were sent.
 func Echoed(x Exchange) bool {
 	return x.Header.Get(engine.HeaderRun) == x.Run && x.Header.Get(engine.HeaderAttempt) == strconv.Itoa(x.Attempt)
 }
