--- a/internal/protocol/cursor/cursor.go
+++ b/internal/protocol/cursor/cursor.go
@@ -1,8 +1,9 @@
-// Package cursor seals the place in a stream at which a caller stands.
+// Package cursor encrypts a client's position in an event stream.
 //
-// The cursor travels as the id of each event. Any entry instance that has the
-// key can open it and go on from the engine, so no entry keeps streams for
-// another. The team is sealed in: another team's cursor does not open.
+// The cursor is sent as the id of each event. Any entry instance that has the
+// key can decrypt it and resume the stream from the engine, so entry instances
+// share no stream state. The team is authenticated as additional data, so a
+// cursor cannot be decrypted for another team.
 package cursor
 
 import (
@@ -16,27 +17,27 @@
 	"github.com/pkg/errors"
 )
 
-// Position is where a stream stands. It is a plain value.
+// Position is a position in a run's event stream.
 type Position struct {
-	// Upstream is the name of the engine that runs the run.
+	// Upstream is the name of the engine that executes the run.
 	Upstream string
 	// Run is the run's id.
 	Run string
-	// Offset is the number of events the caller has been sent.
+	// Offset is the number of events sent to the client so far.
 	Offset uint64
 }
 
-// ErrRefused is returned for a cursor that does not open for the team.
+// ErrRefused is returned for a cursor that is malformed or cannot be decrypted for the team.
 var ErrRefused = errors.New("cursor: not a cursor of this team")
 
-// Sealer seals and opens cursors. It is safe for concurrent use.
+// Sealer encrypts and decrypts cursors with AES-256-GCM. It is safe for concurrent use.
 type Sealer struct {
-	// aeads holds at least one key; the first seals, all open.
+	// aeads holds one AEAD for each key, at least one. The first encrypts; all are tried for decryption.
 	aeads []cipher.AEAD
 }
 
-// NewSealer returns a sealer over secrets: the first one seals, and the others
-// are still accepted, so that a key can be changed without breaking streams.
+// NewSealer returns a Sealer that encrypts with the first secret and decrypts
+// with any of them, so that keys can be rotated without breaking open streams.
 func NewSealer(secrets ...[]byte) (*Sealer, error) {
 	if len(secrets) == 0 {
 		return nil, errors.New("cursor: at least one secret is needed")
@@ -57,23 +58,23 @@
 	return s, nil
 }
 
-// AppendSeal appends the cursor of a place in a team's stream to dst.
+// AppendSeal appends the encoded cursor for a position in a team's stream to dst.
 func (s *Sealer) AppendSeal(dst []byte, team string, p Position) []byte {
 	aead := s.aeads[0]
-	var plain [256]byte
-	body := binary.AppendUvarint(plain[:0], p.Offset)
-	body = binary.AppendUvarint(body, uint64(len(p.Upstream)))
-	body = append(body, p.Upstream...)
-	body = append(body, p.Run...)
-	var box [512]byte
-	nonce := box[:aead.NonceSize()]
-	// rand.Read never fails: the runtime stops the process instead.
+	var plaintextBuf [256]byte
+	plaintext := binary.AppendUvarint(plaintextBuf[:0], p.Offset)
+	plaintext = binary.AppendUvarint(plaintext, uint64(len(p.Upstream)))
+	plaintext = append(plaintext, p.Upstream...)
+	plaintext = append(plaintext, p.Run...)
+	var buf [512]byte
+	nonce := buf[:aead.NonceSize()]
+	// rand.Read never returns an error: the runtime aborts the process instead.
 	_, _ = rand.Read(nonce)
-	sealed := aead.Seal(nonce, nonce, body, []byte(team))
+	sealed := aead.Seal(nonce, nonce, plaintext, []byte(team))
 	return base64.RawURLEncoding.AppendEncode(dst, sealed)
 }
 
-// Open returns the place that a cursor of the team stands for. Its only error
+// Open decrypts a cursor of the team and returns its position. Its only error
 // is ErrRefused.
 func (s *Sealer) Open(team, cursor string) (Position, error) {
 	sealed, err := base64.RawURLEncoding.DecodeString(cursor)
@@ -85,24 +86,24 @@
 		if len(sealed) < n {
 			return Position{}, ErrRefused
 		}
-		body, err := aead.Open(nil, sealed[:n], sealed[n:], []byte(team))
+		plaintext, err := aead.Open(nil, sealed[:n], sealed[n:], []byte(team))
 		if err == nil {
-			return decode(body)
+			return decode(plaintext)
 		}
 	}
 	return Position{}, ErrRefused
 }
 
-func decode(body []byte) (Position, error) {
-	offset, n := binary.Uvarint(body)
+func decode(plaintext []byte) (Position, error) {
+	offset, n := binary.Uvarint(plaintext)
 	if n <= 0 {
 		return Position{}, ErrRefused
 	}
-	body = body[n:]
-	length, n := binary.Uvarint(body)
-	if n <= 0 || length > uint64(len(body)-n) {
+	plaintext = plaintext[n:]
+	length, n := binary.Uvarint(plaintext)
+	if n <= 0 || length > uint64(len(plaintext)-n) {
 		return Position{}, ErrRefused
 	}
-	body = body[n:]
-	return Position{Upstream: string(body[:length]), Run: string(body[length:]), Offset: offset}, nil
+	plaintext = plaintext[n:]
+	return Position{Upstream: string(plaintext[:length]), Run: string(plaintext[length:]), Offset: offset}, nil
 }
