--- a/internal/protocol/engine/engine.go
+++ b/internal/protocol/engine/engine.go
@@ -1,9 +1,9 @@
-// Package engine holds what shedrock and a model engine say to each other
-// beside the OpenAI-compatible bodies: headers, load, cache events, kept
-// context, and fenced orders.
+// Package engine defines the protocol between shedrock and a model engine
+// beside the OpenAI-compatible bodies: headers, load reports, cache events,
+// transfers of stored context, and orders with fencing tokens.
 //
-// Every answer and every event of a stream carries the id of the run that it
-// belongs to. That is what makes a late answer on a reused connection visible.
+// Every response and every event of a stream carries the id of the run that it
+// belongs to, so that a late response on a reused connection is detected.
 package engine
 
 import (
@@ -13,29 +13,29 @@
 	"github.com/shedrock/shedrock/internal/state/prefix"
 )
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
-	// HeaderRun carries the run's id both ways.
+	// HeaderRun carries the run's id in both directions.
 	HeaderRun = "X-Run-Id"
-	// HeaderAttempt counts a run's attempts from 1, both ways.
+	// HeaderAttempt carries the attempt's number, counted from 1 in each run, in both directions.
 	HeaderAttempt = "X-Attempt"
-	// HeaderSalt carries the cache salt; blocks match only under the same one.
+	// HeaderSalt carries the cache salt; cached blocks match only under the same salt.
 	HeaderSalt = "X-Cache-Salt"
-	// HeaderVersion carries the expected weight version, and back the one that ran.
+	// HeaderVersion carries the expected weight version in a request, and the version used in its response.
 	HeaderVersion = "X-Weight-Version"
-	// HeaderPriority carries a number; a lower one runs earlier.
+	// HeaderPriority carries the priority as a number; lower numbers run earlier.
 	HeaderPriority = "X-Priority"
-	// HeaderNotRun is "true" on a refusal that ran nothing of this run.
+	// HeaderNotRun is "true" on a refusal if the engine executed no part of this run.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderLeaving is "true" on a refusal by an upstream that is stopping.
+	// HeaderLeaving is "true" on a refusal by an upstream that is shutting down.
 	HeaderLeaving = "X-Leaving"
-	// HeaderCached counts the prompt tokens that were reused.
+	// HeaderCached carries the number of prompt tokens reused from the cache.
 	HeaderCached = "X-Cached-Tokens"
-	// HeaderPrompt counts the prompt's tokens.
+	// HeaderPrompt carries the number of prompt tokens.
 	HeaderPrompt = "X-Prompt-Tokens"
-	// HeaderLoad carries the engine's load on each answer, as "running queued reading".
+	// HeaderLoad carries the engine's load on each response, as "running queued reading".
 	HeaderLoad = "X-Load"
-	// HeaderLastEvent resumes a stream after an offset.
+	// HeaderLastEvent carries the offset after which a stream is to be resumed.
 	HeaderLastEvent = "Last-Event-ID"
 )
 
@@ -50,7 +50,7 @@
 	PathOrders = "/v1/orders"
 )
 
-// Load is an engine's own report of how busy it is. It lags.
+// Load is an engine's load report, which may be out of date.
 type Load struct {
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
@@ -59,25 +59,25 @@
 	PendingPromptTokens int `json:"reading"`
 	// Version is the weight version being served.
 	Version string `json:"version"`
-	// Leaving is true once the engine takes no new work.
+	// Leaving is true once the engine accepts no new work.
 	Leaving bool `json:"leaving"`
 }
 
-// String gives the form that HeaderLoad carries.
+// String returns the value of HeaderLoad.
 func (l Load) String() string {
 	return fmt.Sprintf("%d %d %d", l.Running, l.Queued, l.PendingPromptTokens)
 }
 
-// ParseLoad reads a HeaderLoad; ok is false when there is none.
+// ParseLoad parses the value of HeaderLoad; ok is false if it is absent or malformed.
 func ParseLoad(s string) (l Load, ok bool) {
 	n, err := fmt.Sscanf(s, "%d %d %d", &l.Running, &l.Queued, &l.PendingPromptTokens)
 	return l, err == nil && n == 3
 }
 
-// CacheEvent tells of one block that entered or left an engine's memory.
+// CacheEvent reports that one block was added to or removed from an engine's cache.
 type CacheEvent struct {
-	// Sequence rises by one for each event of one engine start; a gap means
-	// that events were lost.
+	// Sequence increases by one with each event of one engine process; a gap
+	// means that events were lost.
 	Sequence uint64 `json:"sequence"`
 	Key      string `json:"key"`
 	Removed  bool   `json:"removed"`
@@ -85,18 +85,18 @@
 
 // CacheEvents is one page of events.
 type CacheEvents struct {
-	// Start identifies one run of the engine's process: a blank cache.
+	// Start identifies the engine's process; a new process starts with an empty cache.
 	Start  string       `json:"start"`
 	Events []CacheEvent `json:"events"`
 }
 
-// BlockRef names one kept object in a store.
+// BlockRef identifies one object in a store.
 type BlockRef struct {
-	// Key is the chain key of the last block of context that the object holds.
+	// Key is the chain key of the last block of context in the object.
 	Key string `json:"key"`
-	// Blocks is how many blocks of context the object holds.
+	// Blocks is the number of blocks of context in the object.
 	Blocks int `json:"blocks"`
-	// Object, Generation and Incarnation name the object; all three must match.
+	// Object, Generation and Incarnation identify the object; all three must match.
 	Object      uint64 `json:"object"`
 	Generation  uint64 `json:"generation"`
 	Incarnation string `json:"incarnation"`
@@ -108,44 +108,46 @@
 	Store string `json:"store"`
 	// Version is the weight version under which the blocks were computed.
 	Version string `json:"version"`
-	// Keys are the chain keys of every block concerned, in order.
+	// Keys are the chain keys of the blocks to import, or of the whole chain whose last blocks
+	// are exported, in order.
 	Keys []string `json:"keys"`
-	// Refs name the objects to import, in order.
+	// Refs identify the objects to import, in order. For an export, Refs[0].Blocks is the
+	// number of blocks to write.
 	Refs []BlockRef `json:"refs,omitempty"`
 	// Bytes is the size of one block in the store.
 	Bytes int `json:"bytes"`
-	// Label is given to the store with the object of an export.
+	// Label is stored with the exported object.
 	Label blocks.Label `json:"label"`
 }
 
-// TransferResult is the engine's answer to a Transfer.
+// TransferResult is the engine's response to a Transfer.
 type TransferResult struct {
-	// Blocks is how many leading blocks are now in the engine's memory, or in
-	// the store.
+	// Blocks is the number of leading blocks that are in the engine's memory after
+	// an import, or of blocks that an export wrote to the store.
 	Blocks int `json:"blocks"`
-	// Bytes is how much went over the link.
+	// Bytes is the number of bytes sent over the link.
 	Bytes int64 `json:"bytes"`
-	// Ref names the exported object.
+	// Ref identifies the exported object.
 	Ref BlockRef `json:"ref"`
-	// Refused says why a transfer ended early; it is empty otherwise.
+	// Refused is the reason for which a transfer ended early, or empty.
 	Refused string `json:"refused,omitempty"`
 }
 
-// Order states a wanted end for an engine, with a fencing token.
+// Order declares an engine's desired state, with a fencing token.
 type Order struct {
 	Token   uint64 `json:"token"`
 	Version string `json:"version"`
 }
 
-// OrderState is what an engine says of its orders.
+// OrderState is an engine's report on its orders.
 type OrderState struct {
-	// Token is the highest one seen; an engine that checks refuses lower ones.
+	// Token is the highest token seen; an engine that checks tokens rejects lower ones.
 	Token   uint64 `json:"token"`
 	Version string `json:"version"`
 	Loading string `json:"loading,omitempty"`
 }
 
-// KeyStrings gives the wire form of keys.
+// KeyStrings returns the wire form of keys.
 func KeyStrings(keys []prefix.Key) []string {
 	out := make([]string, 0, len(keys))
 	for _, k := range keys {
--- a/internal/protocol/engine/instances.go
+++ b/internal/protocol/engine/instances.go
@@ -6,15 +6,15 @@
 	InstanceLeaving = "leaving"
 )
 
-// Instance is one line of the platform's list of instances. The list lags, and what
-// it does not name it says nothing of.
+// Instance is one entry of the platform's list of instances. The list may be out of date,
+// and the state of an instance that is missing from it is unknown.
 type Instance struct {
 	// Address is the instance's "ip:port".
 	Address string `json:"address"`
 	State   string `json:"state"`
 }
 
-// Instances is the platform's list.
+// Instances is the platform's list of instances.
 type Instances struct {
 	Instances []Instance `json:"instances"`
 }
