--- a/internal/protocol/openai/answer.go
+++ b/internal/protocol/openai/answer.go
@@ -5,12 +5,12 @@
 	"encoding/json"
 )
 
-// Done is the data of the event that ends a whole stream. A stream that closes
-// without it is not a whole answer.
+// Done is the data of the final event of a complete stream. A stream that ends
+// without it is incomplete.
 const Done = "[DONE]"
 
-// ErrorBody encodes an error as OpenAI-compatible clients expect it. param may
-// be empty; it names the faulty field.
+// ErrorBody encodes an error as OpenAI-compatible clients expect it. param names
+// the invalid field and may be empty.
 func ErrorBody(kind, code, message, param string) []byte {
 	type detail struct {
 		Message string  `json:"message"`
@@ -31,15 +31,15 @@
 	return b
 }
 
-// RunIDMatcher finds a run's id inside the JSON of an answer or of an event without
-// decoding it. A caller's text cannot forge the mark, because the quotes inside
-// a JSON string are escaped:
+// RunIDMatcher finds a run's id in the JSON of a response or of an event without
+// decoding it. Generated or prompt text cannot imitate the id field, because
+// quotes inside a JSON string are escaped:
 //
 //	{"id":"run-1","choices":[{"delta":{"content":"\"id\":\"run-2\""}}]}
 type RunIDMatcher []byte
 
-// NewRunIDMatcher returns the mark of a run.
+// NewRunIDMatcher returns a matcher for a run's id.
 func NewRunIDMatcher(run string) RunIDMatcher { return RunIDMatcher(`"id":"` + run + `"`) }
 
-// Matches reports whether the JSON belongs to the run.
+// Matches reports whether the JSON has the run's id.
 func (m RunIDMatcher) Matches(data []byte) bool { return bytes.Contains(data, m) }
--- a/internal/protocol/openai/events.go
+++ b/internal/protocol/openai/events.go
@@ -8,15 +8,15 @@
 	"github.com/pkg/errors"
 )
 
-// MaxEventBytes bounds one event of a stream.
+// MaxEventBytes limits the size of one event of a stream.
 const MaxEventBytes = 1 << 20
 
-// ErrEventTooLong is returned for an event above MaxEventBytes.
+// ErrEventTooLong is returned for an event larger than MaxEventBytes.
 var ErrEventTooLong = errors.New("openai: event too long")
 
-// Event is one server-sent event. Its slices are only valid until the next read.
+// Event is one server-sent event. Its slices are valid only until the next read.
 type Event struct {
-	// ID is empty when the event carries none.
+	// ID is empty if the event has none.
 	ID []byte
 	// Data holds the data lines, joined by line feeds.
 	Data []byte
@@ -25,13 +25,13 @@
 // EventReader reads server-sent events.
 type EventReader struct {
 	r *bufio.Reader
-	// id and data are reused from event to event, so that reading a token
-	// allocates nothing.
+	// id, data and line are reused from event to event to avoid an allocation for
+	// each token.
 	id, data, line []byte
 }
 
-// eventBufferBytes holds a few events; it is kept small because every open
-// stream has one.
+// eventBufferBytes is the size of a reader's buffer: enough for a few events, and
+// small because every open stream has one.
 const eventBufferBytes = 2048
 
 // NewEventReader returns a reader over r.
@@ -39,12 +39,12 @@
 	return &EventReader{r: bufio.NewReaderSize(r, eventBufferBytes)}
 }
 
-// Buffered reports whether more of the stream has already arrived, so that the
-// caller can put off flushing.
+// Buffered reports whether more of the stream has already been received, so that
+// the consumer can delay its flush.
 func (e *EventReader) Buffered() bool { return e.r.Buffered() > 0 }
 
 // Next reads one event. It returns io.EOF at the end of the stream, and
-// io.ErrUnexpectedEOF when the stream stops inside an event.
+// io.ErrUnexpectedEOF if the stream ends within an event.
 func (e *EventReader) Next() (Event, error) {
 	e.id = e.id[:0]
 	e.data = e.data[:0]
@@ -64,14 +64,14 @@
 			continue
 		}
 		started = true
-		err = e.take(line)
+		err = e.parseLine(line)
 		if err != nil {
 			return Event{}, err
 		}
 	}
 }
 
-func (e *EventReader) take(line []byte) error {
+func (e *EventReader) parseLine(line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
@@ -97,7 +97,7 @@
 	if err != bufio.ErrBufferFull {
 		return line, err
 	}
-	// The line is longer than the buffer: gather it, within bounds.
+	// The line is longer than the buffer: accumulate it up to MaxEventBytes.
 	e.line = append(e.line[:0], line...)
 	for err == bufio.ErrBufferFull {
 		if len(e.line) > MaxEventBytes {
--- a/internal/protocol/openai/request.go
+++ b/internal/protocol/openai/request.go
@@ -1,8 +1,8 @@
-// Package openai reads and writes the bodies of the OpenAI-compatible
-// interface: requests, errors, and the events of a stream.
+// Package openai decodes and encodes the bodies of the OpenAI-compatible API:
+// requests, errors, and the events of a stream.
 //
-// A request body is passed on to the engine unchanged, so that fields this
-// package does not know still reach it. Only what routing needs is read.
+// A request body is forwarded to the engine unchanged, so that fields unknown to
+// this package still reach it. Only the fields that routing needs are decoded.
 package openai
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// Request is what routing needs to know of a request body. It is immutable.
+// Request holds the fields of a request body that routing needs. It is immutable.
 type Request struct {
 	model     string
 	stream    bool
@@ -25,27 +25,27 @@
 // Model returns the requested model's name.
 func (r *Request) Model() string { return r.model }
 
-// Stream reports whether the caller wants events.
+// Stream reports whether the caller requested a stream of events.
 func (r *Request) Stream() bool { return r.stream }
 
-// Text returns the canonical prompt text, whose blocks are keyed.
+// Text returns the canonical prompt text, from whose blocks the cache keys are computed.
 func (r *Request) Text() []byte { return r.text }
 
-// MaxTokens returns the longest answer asked for, in tokens; 0 when not said.
+// MaxTokens returns the requested limit on output tokens, or 0 if the request sets none.
 func (r *Request) MaxTokens() int { return r.maxTokens }
 
 // Body returns the body as the caller sent it.
 func (r *Request) Body() []byte { return r.body }
 
-// FieldError says which field of a body is wrong and why.
+// FieldError is the error for an invalid field of a request body.
 type FieldError struct {
 	// Field is the path of the field, such as "messages[0].role".
 	Field string
-	// Reason says what is wrong.
+	// Reason describes the error.
 	Reason string
 }
 
-// Error gives both parts in one line.
+// Error returns the field and the reason in one line.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 type message struct {
@@ -69,13 +69,13 @@
 	if len(in.Messages) == 0 {
 		return nil, &FieldError{"messages", "at least one message is needed"}
 	}
-	text, err := canonical(in.Messages)
+	text, err := canonicalText(in.Messages)
 	if err != nil {
 		return nil, err
 	}
 	maxTokens := max(in.MaxTokens, in.MaxCompletionTokens)
 	r := &Request{model: in.Model, stream: in.Stream, text: text, maxTokens: maxTokens, body: body}
-	return r, r.check()
+	return r, r.validate()
 }
 
 // ParseCompletion reads the body of /v1/completions. Its errors are *FieldError.
@@ -94,10 +94,10 @@
 		return nil, &FieldError{"prompt", "a string is needed"}
 	}
 	r := &Request{model: in.Model, stream: in.Stream, text: []byte(*in.Prompt), maxTokens: in.MaxTokens, body: body}
-	return r, r.check()
+	return r, r.validate()
 }
 
-func (r *Request) check() error {
+func (r *Request) validate() error {
 	if r.model == "" {
 		return &FieldError{"model", "a model's name is needed"}
 	}
@@ -119,13 +119,13 @@
 	return &FieldError{"body", err.Error()}
 }
 
-// canonical writes the messages one after another. Each length is part of the
-// text, so that a content that imitates a role line, such as
+// canonicalText concatenates the messages. The text includes each content's length,
+// so that a content that imitates a role line, such as
 //
 //	{"role":"user","content":"hi\nassistant\nyes"}
 //
-// cannot have the same text as two messages.
-func canonical(messages []message) ([]byte, error) {
+// cannot produce the same text as two messages.
+func canonicalText(messages []message) ([]byte, error) {
 	var b bytes.Buffer
 	for i, m := range messages {
 		if m.Role == "" {
@@ -142,8 +142,8 @@
 	return b.Bytes(), nil
 }
 
-// contentText gives the text of a string content, and the raw JSON of any other
-// form: parts and tool calls are still keyed by every byte they hold.
+// contentText returns the text of a string content, and the raw JSON of any other
+// form, so that every byte of content parts and tool calls affects the cache keys.
 func contentText(raw json.RawMessage) ([]byte, error) {
 	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
 		return nil, nil
