--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings file of a process that finds the others by seeds.
-// The file is JSON with the names below; a wrong value is an error with its line.
+// Package settings reads the settings file of a process that discovers the others through seed
+// addresses. The file is JSON with the fields of Settings; an invalid value gives an error with its
+// line number.
 package settings
 
 import (
@@ -23,60 +24,62 @@
 	"github.com/pkg/errors"
 )
 
-// checkInterval is how often the file is looked at: it may change without a signal.
-const checkInterval = time.Second
+// pollInterval is how often the file is checked for changes, as it may change without a SIGHUP.
+const pollInterval = time.Second
 
-// Settings are those of one process.
+// Settings holds the settings of one process.
 type Settings struct {
-	// Name is unlike any other process's.
+	// Name is unique among all processes.
 	Name string `json:"name"`
 	// IP is this instance's address.
 	IP            string `json:"ip"`
 	FailureDomain string `json:"failure_domain"`
-	// FailureDomains are all that there are; without them any may be evacuated.
+	// FailureDomains lists all failure domains; if it is empty, any name may be evacuated.
 	FailureDomains []string `json:"failure_domains"`
-	// Callers, Ready and Control are the addresses of what the process serves, as IP:PORT.
+	// Callers, Ready and Control are the addresses on which the process serves, as IP:PORT.
 	Callers string `json:"callers"`
 	Ready   string `json:"ready"`
 	Control string `json:"control"`
 	// PeerPort is for traffic between shedrock's own processes, on every instance.
 	PeerPort uint16 `json:"peer_port"`
-	// PeerListen is where this process takes its peers' connections, as IP:PORT, when
-	// something forwards them from PeerAddress; else it takes them at PeerAddress.
+	// PeerListen is the address on which this process accepts connections from its peers, as
+	// IP:PORT, if a forwarder listens on PeerAddress; the default is PeerAddress.
 	PeerListen string `json:"peer_listen"`
 	// Seeds are addresses of some control instances.
 	Seeds []string `json:"seeds"`
 	// FirstStart is true only when the whole deployment starts for the first time.
 	FirstStart bool `json:"first_start"`
-	// Data is the folder of a control instance.
+	// Data is the data directory of a control instance.
 	Data string `json:"data"`
-	// MemoryMB bounds the process.
+	// MemoryMB is the memory limit of the process.
 	MemoryMB float64 `json:"memory_mb"`
-	// HeartbeatInterval is how often instances report.
+	// HeartbeatInterval is how often instances send heartbeats.
 	HeartbeatInterval Duration `json:"heartbeat"`
-	// Losses is how many control instances may be lost at once.
+	// Losses is the number of control instances that may be lost at the same time.
 	Losses Count `json:"losses"`
-	// CatchUpTime is how long a control instance that came back counts as lost.
+	// CatchUpTime is how long a control instance still counts as lost after it came back.
 	CatchUpTime Duration `json:"catch_up"`
-	// LeaseTime is how long orders of two control instances must lie apart.
+	// LeaseTime is the minimum time between the orders of two different control instances.
 	LeaseTime Duration `json:"lease"`
-	// OldWeightsTime is how long after newer weights of a model are named requests may still
-	// begin on older ones; 0 is without an end.
+	// OldWeightsTime is how long requests may still start on older weights of a model after
+	// newer ones are named; 0 means no limit.
 	OldWeightsTime Duration `json:"old_weights"`
-	// GraceTime is how long a process may take to end.
+	// GraceTime is how long a process may take to shut down.
 	GraceTime Duration `json:"grace"`
-	// RetryRatio, RetryWindowTime and RetrySlack bound repeated sends over all entries: to a
-	// share of the requests in the window, and some besides. Without them there are none.
+	// RetryRatio, RetryWindowTime and RetrySlack are the retry budget of all entries together:
+	// RetryRatio times the requests in the window, plus RetrySlack. Without them, nothing is
+	// retried.
 	RetryRatio      float64  `json:"retry_ratio"`
 	RetryWindowTime Duration `json:"retry_window"`
 	RetrySlack      float64  `json:"retry_slack"`
-	// ColdOverage and ColdSlack bound what a cold instance is sent in one second by all entries: to
-	// so many times what it bears, and some besides. Without them less than it bears is sent.
+	// ColdOverage and ColdSlack limit what all entries together send to a cold instance in one
+	// second: ColdOverage times its sustained rate, plus ColdSlack requests. Without them, less than
+	// the sustained rate is sent.
 	ColdOverage float64 `json:"cold_overage"`
 	ColdSlack   float64 `json:"cold_slack"`
 }
 
-// FieldError names the file, line and field of a wrong value.
+// FieldError reports the file, line and field of an invalid value.
 type FieldError struct {
 	File   string
 	Line   int
@@ -84,12 +87,12 @@
 	Reason string
 }
 
-// Error gives the place and the reason.
+// Error returns the file, line, field and reason.
 func (e *FieldError) Error() string {
 	return e.File + ":" + strconv.Itoa(e.Line) + ": " + e.Field + ": " + e.Reason
 }
 
-// Read reads and checks a file.
+// Read reads and validates a file.
 func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -98,7 +101,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads and checks a text; path is for errors only.
+// Parse parses and validates text; path is used in errors only.
 func Parse(path string, text []byte) (*Settings, error) {
 	var s Settings
 	err := json.Unmarshal(text, &s)
@@ -110,7 +113,7 @@
 	case errors.As(err, &syntax):
 		return nil, &FieldError{path, lineAt(text, syntax.Offset), "the file", err.Error()}
 	case err != nil:
-		field, reason := wrongField(text)
+		field, reason := invalidField(text)
 		return nil, &FieldError{path, lineOf(text, field), field, reason}
 	}
 	field, reason := s.check()
@@ -120,17 +123,17 @@
 	return &s, nil
 }
 
-// wrongField returns the first field, by name, whose value does not read by itself, and why.
-func wrongField(text []byte) (field, reason string) {
+// invalidField returns the first field, by name, whose value cannot be parsed on its own, and why.
+func invalidField(text []byte) (field, reason string) {
 	var fields map[string]json.RawMessage
 	err := json.Unmarshal(text, &fields)
 	if err != nil {
 		return "the file", err.Error()
 	}
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
-		one, err := json.Marshal(map[string]json.RawMessage{name: fields[name]})
+		single, err := json.Marshal(map[string]json.RawMessage{name: fields[name]})
 		if err == nil {
-			err = json.Unmarshal(one, &Settings{})
+			err = json.Unmarshal(single, &Settings{})
 		}
 		if err != nil {
 			return name, err.Error()
@@ -145,14 +148,14 @@
 
 // lineOf returns the line of a field, or the last line when it is missing.
 func lineOf(text []byte, field string) int {
-	at := bytes.Index(text, []byte(`"`+field+`"`))
-	if at < 0 {
-		at = len(text)
+	offset := bytes.Index(text, []byte(`"`+field+`"`))
+	if offset < 0 {
+		offset = len(text)
 	}
-	return lineAt(text, int64(at))
+	return lineAt(text, int64(offset))
 }
 
-// check returns the first wrong field and why.
+// check returns the first invalid field and the reason, or an empty reason.
 func (s *Settings) check() (field, reason string) {
 	for _, f := range []struct{ name, value string }{
 		{"name", s.Name}, {"ip", s.IP}, {"failure_domain", s.FailureDomain},
@@ -200,77 +203,78 @@
 	return "", ""
 }
 
-// PeerAddress is where this process's peers reach it.
-func (s *Settings) PeerAddress() string { return s.peerAt(s.IP) }
+// PeerAddress returns the address at which peers reach this process.
+func (s *Settings) PeerAddress() string { return s.peerAddr(s.IP) }
 
-// PeerListener is where this process takes its peers' connections.
+// PeerListener returns the address on which this process accepts connections from its peers.
 func (s *Settings) PeerListener() string { return cmp.Or(s.PeerListen, s.PeerAddress()) }
 
-// PeerSeeds returns the seeds' addresses for traffic between processes.
+// PeerSeeds returns the addresses of the seeds with PeerPort in place of their port.
 func (s *Settings) PeerSeeds() []string {
 	var out []string
 	for _, seed := range s.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err == nil {
-			out = append(out, s.peerAt(host))
+			out = append(out, s.peerAddr(host))
 		}
 	}
 	return out
 }
 
-func (s *Settings) peerAt(host string) string {
+func (s *Settings) peerAddr(host string) string {
 	return net.JoinHostPort(host, strconv.Itoa(int(s.PeerPort)))
 }
 
-// Heartbeat returns how often instances report.
+// Heartbeat returns how often instances send heartbeats.
 func (s *Settings) Heartbeat() time.Duration { return time.Duration(s.HeartbeatInterval) }
 
-// Lease returns how long orders of two control instances must lie apart.
+// Lease returns the minimum time between the orders of two different control instances.
 func (s *Settings) Lease() time.Duration { return time.Duration(s.LeaseTime) }
 
-// Grace returns how long a process may take to end.
+// Grace returns how long a process may take to shut down.
 func (s *Settings) Grace() time.Duration { return time.Duration(s.GraceTime) }
 
-// OldWeights returns how long after newer weights are named requests may still begin on older
-// ones, or 0.
+// OldWeights returns how long requests may still start on older weights after newer ones are
+// named, or 0 for no limit.
 func (s *Settings) OldWeights() time.Duration { return time.Duration(s.OldWeightsTime) }
 
-// CatchUp returns how long a control instance that came back counts as lost.
+// CatchUp returns how long a control instance still counts as lost after it came back.
 func (s *Settings) CatchUp() time.Duration { return time.Duration(s.CatchUpTime) }
 
-// RetryWindow returns the span of the bound on repeated sends.
+// RetryWindow returns the window of the retry budget.
 func (s *Settings) RetryWindow() time.Duration { return time.Duration(s.RetryWindowTime) }
 
-// File is a settings file that may change. Make one with Open.
+// File is a settings file that is reloaded when it changes. Create one with Open.
 type File struct {
 	path    string
 	log     *log.Logger
 	current atomic.Pointer[Settings]
 }
 
-// Open reads a file, and reads it again when it changes or at a SIGHUP, until ctx ends.
-// A file that does not read leaves the settings as they are.
+// Open reads a file, and reloads it when it changes or on SIGHUP, until ctx is done. If a reload
+// fails, the current settings are kept.
 func Open(ctx context.Context, path string, logger *log.Logger) (*File, error) {
 	f := &File{path: path, log: logger}
-	// A change after this and before the reading costs a second reading, none is missed.
+	// Taken before the file is read: a change in between causes one redundant reload, and none is
+	// missed.
 	last := f.stamp()
 	s, err := Read(path)
 	if err != nil {
 		return nil, err
 	}
 	f.current.Store(s)
-	// The signal stays caught to the end of the process: while it stops, requests are in
-	// flight, and a SIGHUP that nobody catches would end them.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	// The signal stays registered until the process exits: during shutdown requests are still in
+	// flight, and an unhandled SIGHUP would kill the process.
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
 	go func() {
-		ticker := time.NewTicker(checkInterval)
+		ticker := time.NewTicker(pollInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hangups:
+			case <-sighups:
 				last = f.stamp()
 				f.reload("signal")
 			case <-ticker.C:
@@ -284,10 +288,10 @@
 	return f, nil
 }
 
-// Current returns the settings that hold.
+// Current returns the settings in effect.
 func (f *File) Current() *Settings { return f.current.Load() }
 
-// stamp tells one state of the file from another.
+// stamp returns the modification time and size of the file, to detect changes.
 func (f *File) stamp() [2]int64 {
 	info, err := os.Stat(f.path)
 	if err != nil {
@@ -296,12 +300,12 @@
 	return [2]int64{info.ModTime().UnixNano(), info.Size()}
 }
 
-func (f *File) reload(why string) {
+func (f *File) reload(trigger string) {
 	s, err := Read(f.path)
 	if err != nil {
-		f.log.Error().Str("event", "settings_kept").Str("why", why).Str("error", err.Error()).Msg("")
+		f.log.Error().Str("event", "settings_kept").Str("why", trigger).Str("error", err.Error()).Msg("")
 		return
 	}
 	f.current.Store(s)
-	f.log.Info().Str("event", "settings_reloaded").Str("why", why).Str("seeds", strings.Join(s.Seeds, ",")).Msg("")
+	f.log.Info().Str("event", "settings_reloaded").Str("why", trigger).Str("seeds", strings.Join(s.Seeds, ",")).Msg("")
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -48,25 +48,25 @@
 	}
 	cases := []struct{ name, old, new, want string }{
 		{"a missing field", `"name": "e1",`, ``, "f:13: name: is missing"},
-		{"no address", `10.0.0.1:8080`, `here`, `f:5: callers: "here" is not an IP number and port`},
+		{"invalid address", `10.0.0.1:8080`, `here`, `f:5: callers: "here" is not an IP number and port`},
 		{"a wrong type", `"memory_mb": 100`, `"memory_mb": "100"`, "f:8: memory_mb: expected float64, got string"},
-		{"a time without its unit", `"grace": "8s"`, `"grace": 8000`, `f:10: grace: expected a time with its unit such as "1.5s" or "250ms", got 8000`},
+		{"duration without a unit", `"grace": "8s"`, `"grace": 8000`, `f:10: grace: expected a time with its unit such as "1.5s" or "250ms", got 8000`},
 		{"an unknown unit", `"grace": "8s"`, `"grace": "8 days"`, `f:10: grace: expected a time with its unit such as "1.5s" or "250ms", got "8 days"`},
-		{"no figure", `"grace": "8s"`, `"grace": "s"`, `f:10: grace: expected a time with its unit such as "1.5s" or "250ms", got "s"`},
-		{"a time without an end", `"grace": "8s"`, `"grace": "1e999s"`, `f:10: grace: expected a time with its unit such as "1.5s" or "250ms", got "1e999s"`},
-		{"half a loss", `"memory_mb": 100`, `"losses": 1.5, "memory_mb": 100`, "f:8: losses: expected a whole number, got 1.5"},
-		{"fewer than none", `"memory_mb": 100`, `"retry_slack": -0.5, "memory_mb": 100`, "f:8: retry_slack: must not be below 0"},
-		{"no listening address", `"peer_port": 7740,`, `"peer_port": 7740, "peer_listen": "near",`, `f:6: peer_listen: "near" is not an IP number and port`},
-		{"another domain", `"memory_mb": 100`, `"failure_domains": ["z9"], "memory_mb": 100`, `f:8: failure_domains: "a" is not among them`},
-		{"nothing", `"memory_mb": 100`, `"memory_mb": 0`, "f:8: memory_mb: must be above 0"},
-		{"a half file", `"retry_window": "10s"
+		{"unit without a number", `"grace": "8s"`, `"grace": "s"`, `f:10: grace: expected a time with its unit such as "1.5s" or "250ms", got "s"`},
+		{"infinite duration", `"grace": "8s"`, `"grace": "1e999s"`, `f:10: grace: expected a time with its unit such as "1.5s" or "250ms", got "1e999s"`},
+		{"fraction in a whole number", `"memory_mb": 100`, `"losses": 1.5, "memory_mb": 100`, "f:8: losses: expected a whole number, got 1.5"},
+		{"negative value", `"memory_mb": 100`, `"retry_slack": -0.5, "memory_mb": 100`, "f:8: retry_slack: must not be below 0"},
+		{"invalid listen address", `"peer_port": 7740,`, `"peer_port": 7740, "peer_listen": "near",`, `f:6: peer_listen: "near" is not an IP number and port`},
+		{"unlisted failure domain", `"memory_mb": 100`, `"failure_domains": ["z9"], "memory_mb": 100`, `f:8: failure_domains: "a" is not among them`},
+		{"zero where a positive value is required", `"memory_mb": 100`, `"memory_mb": 0`, "f:8: memory_mb: must be above 0"},
+		{"truncated file", `"retry_window": "10s"
 }`, ``, "f:12: the file: unexpected end of JSON input"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := settings.Parse("f", []byte(strings.Replace(valid, c.old, c.new, 1)))
 			if err == nil {
-				t.Fatal("it was taken")
+				t.Fatal("Parse succeeded, want an error")
 			}
 			if diff := cmp.Diff(c.want, err.Error()); diff != "" {
 				t.Error(diff)
@@ -75,7 +75,7 @@
 	}
 }
 
-func open(t *testing.T) (file *settings.File, path string, end func()) {
+func open(t *testing.T) (file *settings.File, path string, stop func()) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "settings.json")
 	err := os.WriteFile(path, []byte(valid), 0o600)
@@ -91,8 +91,8 @@
 	return file, path, cancel
 }
 
-// The file may change with or without a signal; a broken one changes nothing.
-func TestFileIsReadAgain(t *testing.T) {
+// A change of the file is picked up without a signal.
+func TestFileIsReloaded(t *testing.T) {
 	file, path, _ := open(t)
 	err := os.WriteFile(path, []byte(strings.Replace(valid, "10.0.0.3", "10.0.0.9", 1)), 0o600)
 	if err != nil {
@@ -101,12 +101,12 @@
 	wait(t, func() bool { return strings.HasPrefix(file.Current().Seeds[1], "10.0.0.9") })
 }
 
-// A process that stops still has requests in flight: a SIGHUP must not end it.
-func TestHangupWhileStopping(t *testing.T) {
-	_, _, end := open(t)
+// A SIGHUP during shutdown, while requests are still in flight, must not kill the process.
+func TestSIGHUPWhileStopping(t *testing.T) {
+	_, _, stop := open(t)
 	running := runtime.NumGoroutine()
-	end()
-	// The goroutine that takes the signals ends; the process must not.
+	stop()
+	// The goroutine that handles the signals ends; the process must not.
 	wait(t, func() bool { return runtime.NumGoroutine() < running })
 	for range 5 {
 		err := syscall.Kill(os.Getpid(), syscall.SIGHUP)
@@ -118,5 +118,5 @@
 
 func wait(t *testing.T, done func() bool) {
 	t.Helper()
-	await.Until(t, 20*time.Second, "what is expected", done)
+	await.Until(t, 20*time.Second, "the expected condition", done)
 }
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -10,16 +10,16 @@
 	"github.com/pkg/errors"
 )
 
-// Duration is a time in a settings file: a number and its unit, such as "1.5s" or "250ms".
+// Duration is a duration in a settings file: a number and its unit, such as "1.5s" or "250ms".
 type Duration time.Duration
 
-// units are those of a Duration, the longer names first.
+// units are the units of a Duration. "ms" precedes "s", which is a suffix of it.
 var units = []struct {
 	name string
 	unit time.Duration
 }{{"ms", time.Millisecond}, {"s", time.Second}, {"m", time.Minute}, {"h", time.Hour}}
 
-// UnmarshalJSON reads a time.
+// UnmarshalJSON parses a string of a number and a unit.
 func (d *Duration) UnmarshalJSON(text []byte) error {
 	var written string
 	err := json.Unmarshal(text, &written)
@@ -42,7 +42,7 @@
 	return errors.Errorf("expected a time with its unit such as \"1.5s\" or \"250ms\", got %q", written)
 }
 
-// MarshalJSON writes a time.
+// MarshalJSON formats the duration in milliseconds.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64) + "ms")
 }
@@ -50,7 +50,7 @@
 // Count is a whole number in a settings file, however it is written: 2 or 2.0.
 type Count int
 
-// UnmarshalJSON reads a whole number.
+// UnmarshalJSON parses a number and rejects fractions.
 func (c *Count) UnmarshalJSON(text []byte) error {
 	n, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || n != math.Trunc(n) || math.Abs(n) > math.MaxInt32 {
