--- a/internal/protocol/exchange/exchange.go
+++ b/internal/protocol/exchange/exchange.go
@@ -46,8 +46,8 @@
 	Model string
 	// Parts are in their order; all but the last are shared with other prompts.
 	Parts []Part
-	// Tokens is the prompt's length, and MostOut bounds the answer's.
-	Tokens, MostOut int
+	// Tokens is the prompt's length, and MaxOutputTokens bounds the answer's.
+	Tokens, MaxOutputTokens int
 }
 
 // Part is a piece of a prompt.
@@ -76,8 +76,8 @@
 	return xxhash.Sum64String(p.Model+"/"+strings.Join(ids, "/")) | 1
 }
 
-// PartAt is a part's place; Address is empty when it has none.
-type PartAt struct {
+// PartLocation is a part's place; Address is empty when it has none.
+type PartLocation struct {
 	Address string
 	Tokens  int
 }
@@ -97,7 +97,7 @@
 	Salt string
 	// Fetch and Save name, for each part of the prompt, the store to take it from or to
 	// bring it to; they are nil when there is none.
-	Fetch, Save []PartAt
+	Fetch, Save []PartLocation
 	// FetchUntil is when an unfinished fetch is thrown away, on the clock of stores and
 	// engines.
 	FetchUntil time.Duration
@@ -194,8 +194,8 @@
 // longPatience stands for the patience of a caller that does not tell it.
 const longPatience = time.Hour
 
-// Patience returns how long the caller waits from its arrival on.
-func (r *Request) Patience() time.Duration {
+// MaxWait returns how long the caller waits from its arrival on.
+func (r *Request) MaxWait() time.Duration {
 	if r.Wait <= 0 {
 		return longPatience
 	}
--- a/internal/transport/entry/callers.go
+++ b/internal/transport/entry/callers.go
@@ -162,7 +162,7 @@
 	return &exchange.Request{
 		ID: c.requestID, Method: http.MethodPost, Target: path, Path: path, Body: req.Body(), Streamed: req.Stream(),
 		Header: http.Header{"Content-Type": {"application/json"}}, Arrived: c.reqMetrics.arrived,
-		Prompt: &exchange.Prompt{Model: req.Model(), Tokens: tokens, MostOut: req.MaxTokens()},
+		Prompt: &exchange.Prompt{Model: req.Model(), Tokens: tokens, MaxOutputTokens: req.MaxTokens()},
 	}
 }
 
--- a/internal/transport/serving/job.go
+++ b/internal/transport/serving/job.go
@@ -115,7 +115,7 @@
 	j.setDigest()
 	j.urgency = config.Urgency(j.team, j.route)
 	j.service = j.route.Service(rand.Float64())
-	j.deadline = r.Arrived.Add(min(j.route.Timeout, r.Patience()))
+	j.deadline = r.Arrived.Add(min(j.route.Timeout, r.MaxWait()))
 	j.attempts = retry.RequestAttempts{MaxAttempts: max(1, j.route.Attempts), Idempotent: j.route.AllowsRetries(), Streamed: j.route.Kind == deployment.Stream}
 	j.lastEvent = r.After
 	j.server.mu.Lock()
@@ -132,7 +132,7 @@
 	if config != nil || clock.Since(s.startedAt) > startupWindow {
 		return config
 	}
-	hold, cancel := context.WithTimeout(ctx, min(startupHold, j.request.Patience()/startupHoldDivisor))
+	hold, cancel := context.WithTimeout(ctx, min(startupHold, j.request.MaxWait()/startupHoldDivisor))
 	defer cancel()
 	poll := time.NewTicker(startupPollInterval)
 	defer poll.Stop()
--- a/internal/transport/serving/keep.go
+++ b/internal/transport/serving/keep.go
@@ -34,13 +34,13 @@
 		key := keeping.Part{Salt: a.Salt, ID: part.ID}
 		if address, kept, ok := stores.Holder(key); ok {
 			j.fetchParts++
-			a.Fetch = setPart(a.Fetch, p, i, exchange.PartAt{Address: address, Tokens: kept.Parts[key]})
+			a.Fetch = setPart(a.Fetch, p, i, exchange.PartLocation{Address: address, Tokens: kept.Parts[key]})
 			if a.FetchUntil == 0 || kept.Until < a.FetchUntil {
 				a.FetchUntil = kept.Until
 			}
 		} else if address, ok := stores.Place(key, part.Tokens, j.instance.FailureDomain); ok {
 			j.saveParts++
-			a.Save = setPart(a.Save, p, i, exchange.PartAt{Address: address, Tokens: part.Tokens})
+			a.Save = setPart(a.Save, p, i, exchange.PartLocation{Address: address, Tokens: part.Tokens})
 		}
 	}
 	if a.Fetch != nil || a.Save != nil {
@@ -63,9 +63,9 @@
 	return n
 }
 
-func setPart(list []exchange.PartAt, p *exchange.Prompt, i int, place exchange.PartAt) []exchange.PartAt {
+func setPart(list []exchange.PartLocation, p *exchange.Prompt, i int, place exchange.PartLocation) []exchange.PartLocation {
 	if list == nil {
-		list = make([]exchange.PartAt, len(p.Parts))
+		list = make([]exchange.PartLocation, len(p.Parts))
 	}
 	list[i] = place
 	return list
--- a/internal/transport/serving/place.go
+++ b/internal/transport/serving/place.go
@@ -143,7 +143,7 @@
 	pickInfo.Model = p.Model
 	pickInfo.Weights = view.Weights[p.Model]
 	if engine := service.Engine; engine != nil {
-		pickInfo.Tokens = p.Tokens + p.MostOut
+		pickInfo.Tokens = p.Tokens + p.MaxOutputTokens
 		pickInfo.Memory = engine.MemoryTokens
 		pickInfo.Loads = view.Loads
 		pickInfo.LoadsInterval = view.LoadsInterval
