--- a/internal/protocol/exchange/condition.go
+++ b/internal/protocol/exchange/condition.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// maxRest is the longest time for which an instance is left alone at its word.
+// maxRest limits the rest that an instance can request.
 const maxRest = 24 * time.Hour
 
-// Condition is what an instance says of itself with an answer. Its zero value says nothing.
+// Condition is the state that an instance reports with a reply. The zero value reports nothing.
 type Condition struct {
-	// ColdFor is for how much longer the instance is cold, or 0.
+	// ColdFor is the remaining duration of the instance's cold phase, or 0.
 	ColdFor time.Duration
-	// RestFor is for how long the instance wants no request from this entry, or 0.
+	// RestFor is the duration for which the instance asks this entry to send no requests, or 0.
 	RestFor time.Duration
-	// Leaving says that the instance will end, and wants nothing more from anybody.
+	// Leaving reports that the instance is shutting down and asks every entry to send no requests.
 	Leaving bool
-	// Limit is how many requests a second the instance takes from all entries together.
+	// Limit is the rate of requests that the instance accepts from all entries together.
 	Limit Limit
 }
 
-// Limit is one of NoLimit, RateLimit or UnreadableLimit, or nil when nothing is known.
+// Limit is one of NoLimit, RateLimit or UnreadableLimit, or nil if it is unknown.
 type Limit interface{ limit() }
 
-// NoLimit says that the instance names no limit.
+// NoLimit means that the instance reports no limit.
 type NoLimit struct{}
 
-// RateLimit is a limit that the instance names.
+// RateLimit is a limit that the instance reports.
 type RateLimit struct {
-	// PerSecond is a finite number of requests a second, at least 0.
+	// PerSecond is the number of requests per second, finite and at least 0.
 	PerSecond float64
 }
 
-// UnreadableLimit says that the instance names a limit that is no number of requests.
+// UnreadableLimit means that the instance reports a limit that is not a valid number of requests.
 type UnreadableLimit struct{ Text string }
 
 func (NoLimit) limit()         {}
 func (RateLimit) limit()       {}
 func (UnreadableLimit) limit() {}
 
-// ConditionOf returns what the instance says of itself with a reply.
+// ConditionOf returns the condition that the instance reported with a reply.
 func ConditionOf(reply Reply) Condition {
 	switch reply := reply.(type) {
 	case Whole:
@@ -57,8 +57,8 @@
 	panic("exchange: reply outside the sealed set")
 }
 
-// ParseRest reads for how many seconds an instance wants no request, fractions included; what does not
-// read says nothing, and no rest is longer than a day.
+// ParseRest parses the number of seconds, possibly fractional, for which an instance asks for no
+// requests. It returns 0 for invalid text and at most 24 hours.
 func ParseRest(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
--- a/internal/protocol/exchange/events.go
+++ b/internal/protocol/exchange/events.go
@@ -9,22 +9,22 @@
 	"github.com/pkg/errors"
 )
 
-// maxEvent bounds one event in bytes: an event holds a few tokens of text.
+// maxEvent limits the size of one event in bytes; an event normally holds a few tokens of text.
 const maxEvent = 1 << 20
 
-// EventReader splits a body into events without altering a byte.
+// EventReader splits a body into server-sent events and preserves their bytes.
 type EventReader struct {
 	r   *bufio.Reader
 	raw []byte
 }
 
-// NewEventReader reads events from a body.
+// NewEventReader returns a reader of the events in body.
 func NewEventReader(body io.Reader) *EventReader {
 	return &EventReader{r: bufio.NewReaderSize(body, 2048)}
 }
 
-// Next returns the next event with its closing empty line. An end within an event is
-// io.ErrUnexpectedEOF.
+// Next returns the next event, including its terminating empty line. It returns
+// io.ErrUnexpectedEOF if the body ends within an event.
 func (e *EventReader) Next() (Event, error) {
 	e.raw = e.raw[:0]
 	var event Event
@@ -58,5 +58,5 @@
 	}
 }
 
-// Buffered reports whether more bytes have arrived already.
+// Buffered reports whether more bytes have already been received.
 func (e *EventReader) Buffered() bool { return e.r.Buffered() > 0 }
--- a/internal/protocol/exchange/exchange.go
+++ b/internal/protocol/exchange/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange holds the neutral values between whoever takes requests, the serving
-// loop and whoever speaks to upstreams: a request, one attempt at it, and what came back.
-// No header, path or status of a concrete interface is known here.
+// Package exchange defines the protocol-neutral types shared by the request handlers, the
+// serving loop and the upstream clients: a request, one attempt at it, and the reply.
+// The headers, paths and statuses of concrete interfaces are not defined here.
 package exchange
 
 import (
@@ -14,39 +14,40 @@
 	"github.com/shedrock/shedrock/internal/state/registry"
 )
 
-// Request is one caller's request as it was read.
+// Request is one decoded request of a caller.
 type Request struct {
-	// ID is the caller's, unlike any other's.
+	// ID is the caller's unique id of the request.
 	ID string
-	// Method and Target are the request line's; Target holds the query as well.
+	// Method and Target are those of the request line; Target includes the query.
 	Method, Target string
 	Host, Path     string
-	// Header is what the upstream gets unchanged.
+	// Header is forwarded to the upstream unchanged.
 	Header http.Header
 	Body   []byte
-	// Key is the caller's key, or empty.
+	// Key is the caller's API key, or empty.
 	Key string
 	// Arrived is when the head was read, and Wait how long the caller waits from then
-	// on; 0 when it does not say. Left says that the caller had gone by then.
+	// on, or 0 if it sets no limit. Left reports that the caller had disconnected by the
+	// time the request was decoded.
 	Arrived time.Time
 	Wait    time.Duration
 	Left    bool
-	// Prompt is set for requests to a model, and Streamed when the answer is to come as
-	// events from an upstream that answers either way.
+	// Prompt is set for requests to a model. Streamed requests an event stream from an
+	// upstream that supports both forms of reply.
 	Prompt   *Prompt
 	Streamed bool
-	// After is the number of the last event that the caller has; Resumes says that there
-	// is one.
+	// After is the number of the last event that the caller received, valid if Resumes
+	// is set.
 	After   uint64
 	Resumes bool
 }
 
-// Prompt is what is known of a request to a model.
+// Prompt describes the prompt of a request to a model.
 type Prompt struct {
 	Model string
-	// Parts are in their order; all but the last are shared with other prompts.
+	// Parts are in the order of the prompt; all but the last are shared with other prompts.
 	Parts []Part
-	// Tokens is the prompt's length, and MaxOutputTokens bounds the answer's.
+	// Tokens is the prompt's length, and MaxOutputTokens limits the output's.
 	Tokens, MaxOutputTokens int
 }
 
@@ -56,8 +57,9 @@
 	Tokens int
 }
 
-// SharedKey is a hash of the prompt up to its largest shared part, or 0 when nothing is
-// shared: prompts with the same key gain most from running in the same place.
+// SharedKey returns a hash of the prompt up to and including its largest shared part, or 0
+// if no part is shared. Prompts with the same key benefit most from running in the same
+// place, because they share cached context.
 func (p *Prompt) SharedKey() uint64 {
 	last := len(p.Parts) - 1
 	largest := -1
@@ -76,112 +78,112 @@
 	return xxhash.Sum64String(p.Model+"/"+strings.Join(ids, "/")) | 1
 }
 
-// PartLocation is a part's place; Address is empty when it has none.
+// PartLocation is the store that holds a prompt part; Address is empty if there is none.
 type PartLocation struct {
 	Address string
 	Tokens  int
 }
 
-// Attempt is a request on its way to one instance.
+// Attempt is one attempt to execute a request on one instance.
 type Attempt struct {
 	*Request
 	Instance registry.Instance
-	// Deadline is when the instance is to give up.
+	// Deadline is when the instance must abort the request.
 	Deadline time.Time
 	// Team is empty where the configuration has no teams.
 	Team string
-	// Urgency is the place in an engine's queue; 0 is the first.
+	// Urgency is the priority in an engine's queue; 0 runs first.
 	Urgency int
-	// Salt separates kept context of those that must not share it; it is empty for
+	// Salt separates cached context that must not be shared; it is empty for
 	// requests to plain services.
 	Salt string
-	// Fetch and Save name, for each part of the prompt, the store to take it from or to
-	// bring it to; they are nil when there is none.
+	// Fetch and Save name, for each part of the prompt, the store to fetch it from or to
+	// save it to; they are nil if there is none.
 	Fetch, Save []PartLocation
-	// FetchUntil is when an unfinished fetch is thrown away, on the clock of stores and
+	// FetchUntil is when an unfinished fetch is discarded, on the clock of stores and
 	// engines.
 	FetchUntil time.Duration
-	// Weights, when set, is the only version under which the attempt may run; where versions
-	// are declared as names, WeightsName is it.
+	// Weights, if set, is the only weight version under which the attempt may run.
+	// WeightsName is used instead where versions are declared as names.
 	Weights     uint64
 	WeightsName string
-	// Run and Number name the attempt to upstreams that count the attempts of a run.
+	// Run and Number identify the attempt to upstreams that number the attempts of a run.
 	Run    string
 	Number int
-	// Single attempts go over a connection of their own, which no library sends again.
+	// Single sends the attempt on a new connection, so that the HTTP library does not resend it.
 	Single bool
-	// After is the number of the last event that the caller has.
+	// After is the number of the last event that the caller received.
 	After   uint64
 	Resumes bool
 }
 
-// Upstreams speaks to instances.
+// Upstreams sends requests to instances.
 type Upstreams interface {
 	// Send sends one attempt. A Stream must be closed by the caller.
 	Send(ctx context.Context, a *Attempt) Reply
-	// Refuses reports whether an instance's address refuses connections, as it does when no
-	// process listens there. An address that says nothing does not.
+	// Refuses reports whether an instance's address refuses connections, as it does if no
+	// process listens there. An address that does not respond is not reported as refusing.
 	Refuses(ctx context.Context, in registry.Instance) bool
 }
 
 // Reply is one of Unreached, NotRun, Broken, Whole or Stream.
 type Reply interface{ reply() }
 
-// Unreached says that nothing of the request was sent.
+// Unreached means that no byte of the request was sent.
 type Unreached struct{ Err error }
 
-// NotRun says that the instance did not run the request and never will.
+// NotRun means that the instance did not execute the request and never will.
 type NotRun struct {
 	Status int
-	// Misdirected says that another instance has the address now.
+	// Misdirected reports that another instance has the address now.
 	Misdirected bool
 	Condition   Condition
-	// Header is the refusal's, where it says more.
+	// Header is the refusal's header, if it carries further details.
 	Header http.Header
 }
 
-// Broken says that the request was sent and may have run.
+// Broken means that the request was sent and may have been executed.
 type Broken struct {
 	Err error
-	// Condition is what the instance said of itself, if the head of an answer came.
+	// Condition is what the instance reported, if the head of a response was received.
 	Condition Condition
 }
 
-// Head is the head of an instance's answer.
+// Head is the head of an instance's response.
 type Head struct {
 	Status int
 	Header http.Header
-	// Condition is what the instance says of itself.
+	// Condition is the state that the instance reports.
 	Condition Condition
 }
 
-// Whole is a complete answer.
+// Whole is a complete response that is not streamed.
 type Whole struct {
 	Head Head
 	Body []byte
 }
 
-// Stream is an answer of numbered events.
+// Stream is a response that consists of numbered events.
 type Stream struct {
 	Head Head
-	// Events returns io.EOF after the last event of a complete answer.
+	// Events returns io.EOF after the last event of a complete response.
 	Events Events
 }
 
-// Events are the events of one answer.
+// Events iterates over the events of one response.
 type Events interface {
-	// Next returns the next event; it is valid until the next call. More says that the
-	// next one has arrived already.
+	// Next returns the next event, which is valid until the next call. more reports that
+	// the following event has already been received.
 	Next() (event Event, more bool, err error)
 	Close()
 }
 
-// Event is one event as it came.
+// Event is one event as received.
 type Event struct {
-	// Number is 0 when the event has none.
+	// Number is 0 if the event has none.
 	Number uint64
-	// Raw is the whole event, and Data its payload; who reads events sets the one that is
-	// passed on.
+	// Raw is the encoded event, and Data its payload. An implementation of Events sets the
+	// one that is forwarded.
 	Raw, Data []byte
 }
 
@@ -191,13 +193,13 @@
 func (Whole) reply()     {}
 func (Stream) reply()    {}
 
-// longPatience stands for the patience of a caller that does not tell it.
-const longPatience = time.Hour
+// defaultMaxWait is the MaxWait of a caller that sets no limit.
+const defaultMaxWait = time.Hour
 
-// MaxWait returns how long the caller waits from its arrival on.
+// MaxWait returns how long the caller waits from the request's arrival on.
 func (r *Request) MaxWait() time.Duration {
 	if r.Wait <= 0 {
-		return longPatience
+		return defaultMaxWait
 	}
 	return r.Wait
 }
--- a/internal/protocol/exchange/readers_test.go
+++ b/internal/protocol/exchange/readers_test.go
@@ -20,17 +20,17 @@
 	exchange = module + "internal/protocol/exchange"
 )
 
-// readers are the packages that decide by what comes back from upstreams.
+// readers are the packages that make decisions based on upstream replies.
 var readers = []string{"internal/transport/serving", "internal/transport/entry"}
 
-// What an instance said of itself was decoded at the edge and read by nobody: every field of what comes back
-// from upstreams is read by a package that decides.
+// Guards against reply fields that are decoded but never used, as happened with a reported condition:
+// every field of an upstream reply must be read by one of the packages in readers.
 func TestEveryFieldOfAReplyHasAReader(t *testing.T) {
 	fset := token.NewFileSet()
 	imports := importer.ForCompiler(fset, "gc", exports(t))
 	read := map[types.Object]bool{}
 	for _, name := range readers {
-		noteReads(t, fset, imports, name, read)
+		recordReads(t, fset, imports, name, read)
 	}
 	replies, err := imports.Import(exchange)
 	if err != nil {
@@ -40,17 +40,17 @@
 		fields := replies.Scope().Lookup(name).Type().Underlying().(*types.Struct)
 		for i := range fields.NumFields() {
 			f := fields.Field(i)
-			if !read[f] && !readHere(name, f.Name()) {
+			if !read[f] && !readByConditionOf(name, f.Name()) {
 				t.Errorf("%s.%s has no reader", name, f.Name())
 			}
 		}
 	}
 }
 
-// readHere reports whether ConditionOf reads a field for the others.
-func readHere(reply, field string) bool { return field == "Condition" && reply != "Condition" }
+// readByConditionOf reports whether ConditionOf reads a field for the others.
+func readByConditionOf(reply, field string) bool { return field == "Condition" && reply != "Condition" }
 
-// exports returns what opens the export data of a package and of those that it needs.
+// exports returns a lookup function that opens the export data of the readers and of their dependencies.
 func exports(t *testing.T) func(path string) (io.ReadCloser, error) {
 	t.Helper()
 	args := []string{"list", "-export", "-deps", "-f", "{{.ImportPath}} {{.Export}}"}
@@ -69,8 +69,8 @@
 	return func(path string) (io.ReadCloser, error) { return os.Open(files[path]) }
 }
 
-// noteReads notes the fields that a package reads.
-func noteReads(t *testing.T, fset *token.FileSet, imports types.Importer, name string, read map[types.Object]bool) {
+// recordReads adds the fields that a package reads to read.
+func recordReads(t *testing.T, fset *token.FileSet, imports types.Importer, name string, read map[types.Object]bool) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("../../..", name, "*.go"))
 	if err != nil || len(paths) == 0 {
