--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,10 +1,10 @@
 // Package engine is a small stand-in for a model engine: OpenAI-compatible
-// answers, priority, cancel, resume by offset, a bounded prefix cache with a
-// salt, export and import of kept context, late and gappy cache events, lagging
-// load reports, and fenced orders.
+// responses, a priority queue, cancellation, resumption by event offset, a bounded
+// and salted prefix cache, export and import of cached blocks, delayed and
+// incomplete cache events, delayed load reports, and orders with fencing tokens.
 //
-// It answers with made-up words at a set speed. Its kept context is made-up
-// bytes that carry their key, so that reading a wrong block is noticed.
+// It generates placeholder words at a configured rate. The data of a cached block
+// is its key repeated, so that reading the wrong block is detected.
 package engine
 
 import (
@@ -23,71 +23,78 @@
 	"github.com/shedrock/shedrock/internal/state/prefix"
 )
 
-// Options are a stand-in engine's settings.
+// Options configures an Engine.
 type Options struct {
-	// Version is the weight version served at the start.
+	// Version is the weight version served initially.
 	Version string
-	// Slots is how many runs go on at once, and Queue how many wait.
+	// Slots is the maximum number of concurrent runs, and Queue the maximum number
+	// of requests that wait for a slot.
 	Slots, Queue int
-	// PrefillRate is in tokens a second.
+	// PrefillRate is the speed of prompt processing in tokens per second.
 	PrefillRate float64
-	// TokenInterval is the time between tokens.
+	// TokenInterval is the time between generated tokens.
 	TokenInterval time.Duration
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// LoadLag is how old load reports are; EventLag delays cache events.
+	// LoadLag is the age at which a load report is replaced by a new one; EventLag
+	// is the delay of cache events.
 	LoadLag, EventLag time.Duration
-	// LoadTime is how long loading a weight version takes.
+	// LoadTime is the time taken to load a weight version.
 	LoadTime time.Duration
-	// ChecksOrders refuses orders with old tokens.
+	// ChecksOrders rejects orders whose token is below the highest one seen.
 	ChecksOrders bool
-	// KeepRuns is how long a finished run can be resumed.
+	// KeepRuns is how long a run can still be resumed after its end.
 	KeepRuns time.Duration
-	// DefaultTokens is the length of an answer when the request sets none.
+	// DefaultTokens is the number of tokens generated when the request sets no
+	// limit.
 	DefaultTokens int
 	// Start identifies this start of the process.
 	Start string
 }
 
-// Engine is the stand-in. Make one with New.
+// Engine is the stand-in server. Create one with New.
 type Engine struct {
 	options Options
 	cache   *cache
-	// Faults can be set while the engine runs.
+	// Faults can be changed while the engine runs.
 	Faults fault.Injector
 
 	mu sync.Mutex
-	// waiting holds the queue, best priority first.
-	waiting []*ticket
-	running int
-	runs    map[string]*run
-	ran     map[string]int
-	version string
-	token   uint64
-	loading string
-	// reading counts the prompt tokens that wait to be computed.
-	reading  int
-	reported protocol.Load
-	reportAt time.Time
-	events   []lateEvents
-	// Imported counts blocks taken from stores.
-	imported int
+	// waiting is the queue in ascending order of the priority number: the lowest
+	// number is served first.
+	waiting     []*waiter
+	running     int
+	runs        map[string]*run
+	startsByRun map[string]int
+	version     string
+	orderToken  uint64
+	loading     string
+	// prefillTokens counts the uncached prompt tokens of the runs that are in
+	// prefill.
+	prefillTokens int
+	reported      protocol.Load
+	reportedAt    time.Time
+	delayed       []delayedEvents
+	// importedBlocks counts the blocks imported from stores.
+	importedBlocks int
 }
 
-// lateEvents delays the sequence up to which cache events may be seen.
-type lateEvents struct {
+// delayedEvents records that the events up to sequence existed at a given time;
+// they become visible EventLag later.
+type delayedEvents struct {
 	at       time.Time
 	sequence uint64
 }
 
 // New returns an engine with an empty cache.
 func New(o Options) *Engine {
-	e := &Engine{options: o, runs: map[string]*run{}, ran: map[string]int{}, version: o.Version}
+	e := &Engine{options: o, runs: map[string]*run{}, startsByRun: map[string]int{}, version: o.Version}
 	e.cache = newCache(o.CacheBlocks, func() int { return e.Faults.Get().GapEvery })
 	return e
 }
 
-// Handler serves the engine's protocol.
+// Handler returns the handler for the engine's protocol, the fault settings and
+// the counts of started runs.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(fault.Path, &e.Faults)
@@ -99,34 +106,34 @@
 	mux.HandleFunc("GET "+protocol.PathEvents, e.cacheEvents)
 	mux.HandleFunc("POST "+protocol.PathImport, e.importBlocks)
 	mux.HandleFunc("POST "+protocol.PathExport, e.exportBlocks)
-	mux.HandleFunc("POST "+protocol.PathOrders, e.order)
-	mux.HandleFunc("GET "+protocol.PathOrders, e.orders)
-	mux.HandleFunc("GET /standin/ran", e.serveRan)
+	mux.HandleFunc("POST "+protocol.PathOrders, e.serveOrder)
+	mux.HandleFunc("GET "+protocol.PathOrders, e.serveOrderState)
+	mux.HandleFunc("GET /standin/ran", e.serveStarts)
 	return mux
 }
 
-// RunsStarted returns how many runs began.
+// RunsStarted returns the number of runs started so far.
 func (e *Engine) RunsStarted() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	total := 0
-	for _, n := range e.ran {
+	for _, n := range e.startsByRun {
 		total += n
 	}
 	return total
 }
 
-// Running returns how many runs go on now.
+// Running returns the number of slots in use.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running
 }
 
-func (e *Engine) serveRan(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveStarts(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	writeJSON(w, e.ran)
+	writeJSON(w, e.startsByRun)
 }
 
 func (e *Engine) refuse(w http.ResponseWriter, status int, reason string) {
@@ -147,7 +154,7 @@
 	f := e.Faults.Get()
 	n := newRun(r.Header.Get(protocol.HeaderRun), r.Header.Get(protocol.HeaderAttempt), e.Version())
 	n.chat = chat
-	e.echo(w, n, f)
+	e.setRunHeaders(w, n, f)
 	if err != nil {
 		e.refuse(w, http.StatusBadRequest, err.Error())
 		return
@@ -164,11 +171,11 @@
 		e.refuse(w, http.StatusServiceUnavailable, "refused")
 		return
 	}
-	if !e.enter(r) {
+	if !e.acquireSlot(r) {
 		e.refuse(w, http.StatusTooManyRequests, "the queue is full")
 		return
 	}
-	e.begin(n)
+	e.registerRun(n)
 	keys := prefix.Chain(r.Header.Get(protocol.HeaderSalt), req.Text())
 	matched := e.cache.match(keys)
 	n.prompt = prefix.Tokens(len(req.Text()))
@@ -180,11 +187,12 @@
 		e.stream(w, r, n, 0, f)
 		return
 	}
-	e.answerWhole(w, r, n, req, f)
+	e.writeCompletion(w, r, n, req, f)
 }
 
-// echo sets the headers that say whose answer this is.
-func (e *Engine) echo(w http.ResponseWriter, n *run, f fault.Settings) {
+// setRunHeaders sets the response headers that identify the run, its attempt and
+// weight version, and the header that reports the load.
+func (e *Engine) setRunHeaders(w http.ResponseWriter, n *run, f fault.Settings) {
 	id := n.id
 	if f.Crossed {
 		id = "run-of-another"
@@ -192,31 +200,31 @@
 	w.Header().Set(protocol.HeaderRun, id)
 	w.Header().Set(protocol.HeaderAttempt, n.attempt)
 	w.Header().Set(protocol.HeaderVersion, n.version)
-	w.Header().Set(protocol.HeaderLoad, e.lateLoad(f).String())
+	w.Header().Set(protocol.HeaderLoad, e.reportedLoad(f).String())
 }
 
-func (e *Engine) begin(n *run) {
+func (e *Engine) registerRun(n *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.runs[n.id] = n
-	e.ran[n.id]++
+	e.startsByRun[n.id]++
 }
 
-// generate makes the run's events at the set speed, whether or not anybody
-// reads them, until the end or a cancel.
+// generate produces the run's events at the configured rate until the run ends or
+// is cancelled, whether or not a client reads them.
 func (e *Engine) generate(n *run, req *openai.Request, keys []prefix.Key, f fault.Settings) {
 	defer func() {
 		e.mu.Lock()
-		e.release()
+		e.releaseSlot()
 		e.mu.Unlock()
-		time.AfterFunc(e.options.KeepRuns, func() { e.forget(n) })
+		time.AfterFunc(e.options.KeepRuns, func() { e.removeRun(n) })
 	}()
-	missing := n.prompt - n.cached
-	prefill := time.Duration(float64(missing) / e.options.PrefillRate * float64(time.Second))
-	e.read(missing)
-	whole := pause(n, prefill+f.Slow)
-	e.read(-missing)
-	if !whole {
+	uncached := n.prompt - n.cached
+	prefill := time.Duration(float64(uncached) / e.options.PrefillRate * float64(time.Second))
+	e.addPrefillTokens(uncached)
+	completed := pause(n, prefill+f.Slow)
+	e.addPrefillTokens(-uncached)
+	if !completed {
 		return
 	}
 	e.cache.add(keys)
@@ -237,13 +245,13 @@
 	}
 }
 
-func (e *Engine) read(tokens int) {
+func (e *Engine) addPrefillTokens(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.reading += tokens
+	e.prefillTokens += tokens
 }
 
-// pause waits; it reports false when the run was cancelled.
+// pause waits for d and reports false if the run is cancelled meanwhile.
 func pause(n *run, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -258,7 +266,7 @@
 	}
 }
 
-func (e *Engine) forget(n *run) {
+func (e *Engine) removeRun(n *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.runs[n.id] == n {
@@ -271,7 +279,7 @@
 	out := http.NewResponseController(w)
 	sent := 0
 	for {
-		events, ended, grown := n.after(offset)
+		events, ended, changed := n.eventsFrom(offset)
 		for _, data := range events {
 			offset++
 			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", offset, data)
@@ -287,7 +295,7 @@
 		}
 		_ = out.Flush()
 		select {
-		case <-grown:
+		case <-changed:
 		case <-n.cancelled:
 			fault.Abort()
 		case <-r.Context().Done():
@@ -296,9 +304,9 @@
 	}
 }
 
-func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, n *run, req *openai.Request, f fault.Settings) {
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, n *run, req *openai.Request, f fault.Settings) {
 	for {
-		events, ended, grown := n.after(0)
+		events, ended, changed := n.eventsFrom(0)
 		if ended {
 			if f.CloseBeforeReply {
 				fault.Abort()
@@ -308,11 +316,11 @@
 				text.WriteString(word(req.Text(), i))
 			}
 			w.Header().Set("Content-Type", "application/json")
-			w.Write(whole(n, req.Model(), text.String(), len(events)))
+			w.Write(completion(n, req.Model(), text.String(), len(events)))
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-n.cancelled:
 			fault.Abort()
 		case <-r.Context().Done():
@@ -335,7 +343,7 @@
 		return
 	}
 	f := e.Faults.Get()
-	e.echo(w, n, f)
+	e.setRunHeaders(w, n, f)
 	e.stream(w, r, n, offset, f)
 }
 
--- a/internal/standin/engine/reports.go
+++ b/internal/standin/engine/reports.go
@@ -11,42 +11,44 @@
 )
 
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, e.lateLoad(e.Faults.Get()))
+	writeJSON(w, e.reportedLoad(e.Faults.Get()))
 }
 
-// lateLoad is the load as of the last report.
-func (e *Engine) lateLoad(f fault.Settings) protocol.Load {
+// reportedLoad returns the last load report, after replacing it if it is at least
+// LoadLag old and the load is not frozen.
+func (e *Engine) reportedLoad(f fault.Settings) protocol.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Since(e.reportAt) >= e.options.LoadLag && !f.FreezeLoad {
-		e.reported = protocol.Load{Running: e.running, Queued: len(e.waiting), Slots: e.options.Slots, PendingPromptTokens: e.reading, Version: e.version, Leaving: f.Leaving}
-		e.reportAt = time.Now()
+	if time.Since(e.reportedAt) >= e.options.LoadLag && !f.FreezeLoad {
+		e.reported = protocol.Load{Running: e.running, Queued: len(e.waiting), Slots: e.options.Slots, PendingPromptTokens: e.prefillTokens, Version: e.version, Leaving: f.Leaving}
+		e.reportedAt = time.Now()
 	}
 	return e.reported
 }
 
 func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	events := e.cache.after(after)
+	events := e.cache.eventsAfter(after)
 	seen := e.visible(events)
 	writeJSON(w, protocol.CacheEvents{Start: e.options.Start, Events: seen})
 }
 
-// visible hides events that are younger than the event lag.
+// visible returns the events that are at least EventLag old, counted from the
+// first call that was given them.
 func (e *Engine) visible(events []protocol.CacheEvent) []protocol.CacheEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
 	if len(events) > 0 {
-		e.events = append(e.events, lateEvents{now, events[len(events)-1].Sequence})
+		e.delayed = append(e.delayed, delayedEvents{now, events[len(events)-1].Sequence})
 	}
 	var limit uint64
-	for len(e.events) > 0 && now.Sub(e.events[0].at) >= e.options.EventLag {
-		limit = e.events[0].sequence
-		if len(e.events) == 1 {
+	for len(e.delayed) > 0 && now.Sub(e.delayed[0].at) >= e.options.EventLag {
+		limit = e.delayed[0].sequence
+		if len(e.delayed) == 1 {
 			break
 		}
-		e.events = e.events[1:]
+		e.delayed = e.delayed[1:]
 	}
 	n := 0
 	for n < len(events) && events[n].Sequence <= limit {
@@ -62,7 +64,7 @@
 	return e.version
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var in protocol.Order
 	err := json.NewDecoder(r.Body).Decode(&in)
 	if err != nil || in.Version == "" {
@@ -77,23 +79,25 @@
 	writeJSON(w, state)
 }
 
-// ApplyOrder takes an order; ok is false when a higher token was seen.
+// ApplyOrder records the order's token and starts loading its weight version. It
+// reports false if ChecksOrders is set and a higher token was seen before.
 func (e *Engine) ApplyOrder(in protocol.Order) (state protocol.OrderState, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.ChecksOrders && in.Token < e.token {
+	if e.options.ChecksOrders && in.Token < e.orderToken {
 		return protocol.OrderState{}, false
 	}
-	e.token = max(e.token, in.Token)
+	e.orderToken = max(e.orderToken, in.Token)
 	if in.Version != e.version && in.Version != e.loading {
 		e.loading = in.Version
-		time.AfterFunc(e.options.LoadTime, func() { e.loaded(in.Version) })
+		time.AfterFunc(e.options.LoadTime, func() { e.finishLoading(in.Version) })
 	}
-	return protocol.OrderState{Token: e.token, Version: e.version, Loading: e.loading}, true
+	return protocol.OrderState{Token: e.orderToken, Version: e.version, Loading: e.loading}, true
 }
 
-// loaded puts a loaded version in force, unless another load has replaced it.
-func (e *Engine) loaded(version string) {
+// finishLoading makes version the served one and clears the cache, unless a later
+// order has replaced the load.
+func (e *Engine) finishLoading(version string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.loading != version {
@@ -104,8 +108,8 @@
 	e.cache.clear()
 }
 
-func (e *Engine) orders(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveOrderState(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	writeJSON(w, protocol.OrderState{Token: e.token, Version: e.version, Loading: e.loading})
+	writeJSON(w, protocol.OrderState{Token: e.orderToken, Version: e.version, Loading: e.loading})
 }
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -8,26 +8,26 @@
 	"sync"
 )
 
-// run is one generation. Its events are kept until some time after its end, so
-// that a caller can resume.
+// run is one generation. Its events are retained for Options.KeepRuns after its
+// end, so that a client can resume the stream.
 type run struct {
 	id, attempt, version string
 	chat                 bool
 	cached, prompt       int
 
 	mu sync.Mutex
-	// events holds the JSON of each event in order; it only grows.
+	// events holds the JSON of each event in order; it is append-only.
 	events [][]byte
 	// ended is true after the last event.
 	ended     bool
 	cancelled chan struct{}
 	once      sync.Once
-	// grown is closed and replaced whenever events or ended changes.
-	grown chan struct{}
+	// changed is closed and replaced whenever events or ended changes.
+	changed chan struct{}
 }
 
 func newRun(id, attempt, version string) *run {
-	return &run{id: id, attempt: attempt, version: version, cancelled: make(chan struct{}), grown: make(chan struct{})}
+	return &run{id: id, attempt: attempt, version: version, cancelled: make(chan struct{}), changed: make(chan struct{})}
 }
 
 func (n *run) cancel() { n.once.Do(func() { close(n.cancelled) }) }
@@ -37,23 +37,23 @@
 	defer n.mu.Unlock()
 	n.events = append(n.events, event)
 	n.ended = last
-	close(n.grown)
-	n.grown = make(chan struct{})
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// after returns the events from an offset on, whether the run has ended with
+// eventsFrom returns the events from offset on, whether the run has ended with
 // them, and a channel that is closed at the next change.
-func (n *run) after(offset int) ([][]byte, bool, <-chan struct{}) {
+func (n *run) eventsFrom(offset int) ([][]byte, bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if offset > len(n.events) {
 		offset = len(n.events)
 	}
-	return n.events[offset:], n.ended, n.grown
+	return n.events[offset:], n.ended, n.changed
 }
 
-// word is the i-th piece of the answer. The first one names the prompt, so that
-// a test can tell whose answer it holds.
+// word returns the i-th word of the response to a prompt. The first one is derived
+// from the prompt, so that a test can tell which request a response belongs to.
 func word(text []byte, i int) string {
 	if i > 0 {
 		return fmt.Sprintf(" w%d", i)
@@ -61,13 +61,14 @@
 	return FirstWord(text)
 }
 
-// FirstWord is the first word of the answer to a prompt.
+// FirstWord returns the first word of the response to a prompt, which contains
+// part of the prompt's SHA-256 hash.
 func FirstWord(text []byte) string {
 	sum := sha256.Sum256(text)
 	return "answer-" + hex.EncodeToString(sum[:4])
 }
 
-// chunk encodes one event of a stream; finish is empty but for the last one.
+// chunk encodes one event of a stream; finish is empty except in the last one.
 func chunk(n *run, model, content, finish string) []byte {
 	type delta struct {
 		Role    string `json:"role,omitempty"`
@@ -99,8 +100,8 @@
 	}{n.id, object, 0, model, []choice{c}})
 }
 
-// whole encodes the answer of a run that was not streamed.
-func whole(n *run, model, content string, tokens int) []byte {
+// completion encodes the response of a run that is not streamed.
+func completion(n *run, model, content string, tokens int) []byte {
 	type message struct {
 		Role    string `json:"role"`
 		Content string `json:"content"`
@@ -137,7 +138,7 @@
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic("standin: a plain struct failed to encode: " + err.Error())
+		panic("standin: cannot encode JSON: " + err.Error())
 	}
 	return b
 }
--- a/internal/standin/engine/slots.go
+++ b/internal/standin/engine/slots.go
@@ -7,17 +7,17 @@
 	protocol "github.com/shedrock/shedrock/internal/protocol/engine"
 )
 
-// ticket is a place in the queue for a slot.
-type ticket struct {
+// waiter is a request in the queue for a slot; ready is closed when it gets one.
+type waiter struct {
 	priority int
 	ready    chan struct{}
 }
 
-// enter waits for a slot; it reports false when the queue is full or the caller
-// has gone.
-func (e *Engine) enter(r *http.Request) bool {
+// acquireSlot waits for a slot. It reports false if the queue is full or the
+// request is cancelled.
+func (e *Engine) acquireSlot(r *http.Request) bool {
 	priority, _ := strconv.Atoi(r.Header.Get(protocol.HeaderPriority))
-	t := &ticket{priority: priority, ready: make(chan struct{})}
+	t := &waiter{priority: priority, ready: make(chan struct{})}
 	e.mu.Lock()
 	if e.running < e.options.Slots {
 		e.running++
@@ -28,25 +28,26 @@
 		e.mu.Unlock()
 		return false
 	}
-	at := len(e.waiting)
-	for at > 0 && e.waiting[at-1].priority > priority {
-		at--
+	index := len(e.waiting)
+	for index > 0 && e.waiting[index-1].priority > priority {
+		index--
 	}
 	e.waiting = append(e.waiting, nil)
-	copy(e.waiting[at+1:], e.waiting[at:])
-	e.waiting[at] = t
+	copy(e.waiting[index+1:], e.waiting[index:])
+	e.waiting[index] = t
 	e.mu.Unlock()
 	select {
 	case <-t.ready:
 		return true
 	case <-r.Context().Done():
-		e.withdraw(t)
+		e.cancelWaiter(t)
 		return false
 	}
 }
 
-// withdraw takes a ticket from the queue, or gives its slot on.
-func (e *Engine) withdraw(t *ticket) {
+// cancelWaiter removes a waiter from the queue, or releases its slot if it has been
+// given one meanwhile.
+func (e *Engine) cancelWaiter(t *waiter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i, other := range e.waiting {
@@ -55,11 +56,12 @@
 			return
 		}
 	}
-	e.release()
+	e.releaseSlot()
 }
 
-// release gives a slot to the next in the queue; mu must be held.
-func (e *Engine) release() {
+// releaseSlot passes a slot to the first waiter, or frees it if none waits. The
+// caller must hold e.mu.
+func (e *Engine) releaseSlot() {
 	if len(e.waiting) == 0 {
 		e.running--
 		return
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -16,13 +16,13 @@
 	"github.com/shedrock/shedrock/internal/state/prefix"
 )
 
-// kept makes the bytes of one block: its key, over and over.
-func kept(key string, size int) []byte {
+// blockData returns the data of one block: its key repeated up to size bytes.
+func blockData(key string, size int) []byte {
 	b := bytes.Repeat([]byte(key), size/len(key)+1)
 	return b[:size]
 }
 
-func (e *Engine) readTransfer(w http.ResponseWriter, r *http.Request) (in protocol.Transfer, keys []prefix.Key, ok bool) {
+func (e *Engine) decodeTransfer(w http.ResponseWriter, r *http.Request) (in protocol.Transfer, keys []prefix.Key, ok bool) {
 	err := json.NewDecoder(r.Body).Decode(&in)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -43,11 +43,11 @@
 	return in, keys, true
 }
 
-// importBlocks reads objects in order until one fails. Only blocks whose object
-// was still sealed after its last byte, and whose bytes carry their own key,
-// enter the cache.
+// importBlocks reads objects in order until one fails. A block enters the cache
+// only if its object was still sealed after the last byte was read and the data
+// matches the block's key.
 func (e *Engine) importBlocks(w http.ResponseWriter, r *http.Request) {
-	in, keys, ok := e.readTransfer(w, r)
+	in, keys, ok := e.decodeTransfer(w, r)
 	if !ok {
 		return
 	}
@@ -68,21 +68,21 @@
 	}
 	e.cache.add(keys[:out.Blocks])
 	e.mu.Lock()
-	e.imported += out.Blocks
+	e.importedBlocks += out.Blocks
 	e.mu.Unlock()
 	writeJSON(w, out)
 }
 
-// ImportedBlocks returns how many blocks were taken from stores.
+// ImportedBlocks returns the number of blocks imported from stores so far.
 func (e *Engine) ImportedBlocks() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.imported
+	return e.importedBlocks
 }
 
 func fetch(ctx context.Context, in protocol.Transfer, ref protocol.BlockRef, keys []string) (int64, error) {
 	name := blocks.Name{Object: ref.Object, Generation: ref.Generation, Incarnation: ref.Incarnation}
-	data, err := get(ctx, in.Store, name, false)
+	data, err := getObject(ctx, in.Store, name, false)
 	if err != nil {
 		return 0, err
 	}
@@ -91,15 +91,15 @@
 		return read, errors.Errorf("the object has %d bytes, not %d", len(data), in.Bytes*ref.Blocks)
 	}
 	for i, key := range keys {
-		if !bytes.Equal(data[i*in.Bytes:(i+1)*in.Bytes], kept(key, in.Bytes)) {
+		if !bytes.Equal(data[i*in.Bytes:(i+1)*in.Bytes], blockData(key, in.Bytes)) {
 			return read, errors.Errorf("block %d does not hold the context of its key", i)
 		}
 	}
-	_, err = get(ctx, in.Store, name, true)
+	_, err = getObject(ctx, in.Store, name, true)
 	return read, errors.Wrap(err, "check after the last byte")
 }
 
-func get(ctx context.Context, store string, name blocks.Name, check bool) ([]byte, error) {
+func getObject(ctx context.Context, store string, name blocks.Name, check bool) ([]byte, error) {
 	type query struct {
 		Generation  uint64 `url:"generation"`
 		Incarnation string `url:"incarnation"`
@@ -110,10 +110,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return do(req.WithContext(ctx))
+	return sendRequest(req.WithContext(ctx))
 }
 
-func do(req *http.Request) ([]byte, error) {
+func sendRequest(req *http.Request) ([]byte, error) {
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return nil, err
@@ -129,10 +129,10 @@
 	return body, nil
 }
 
-// exportBlocks writes the named blocks into one object of a store. in.Keys is
-// the whole chain; in.Refs[0].Blocks says how many of its last blocks to write.
+// exportBlocks writes cached blocks into one new object of a store. in.Keys is the
+// whole chain; in.Refs[0].Blocks is the number of its last blocks to write.
 func (e *Engine) exportBlocks(w http.ResponseWriter, r *http.Request) {
-	in, keys, ok := e.readTransfer(w, r)
+	in, keys, ok := e.decodeTransfer(w, r)
 	if !ok {
 		return
 	}
@@ -145,7 +145,7 @@
 		return
 	}
 	part := in.Keys[len(keys)-in.Refs[0].Blocks:]
-	ref, n, err := put(r.Context(), in, part)
+	ref, n, err := putObject(r.Context(), in, part)
 	out := protocol.TransferResult{Blocks: len(part), Bytes: n, Ref: ref}
 	if err != nil {
 		out = protocol.TransferResult{Bytes: n, Refused: err.Error()}
@@ -153,10 +153,10 @@
 	writeJSON(w, out)
 }
 
-func put(ctx context.Context, in protocol.Transfer, keys []string) (protocol.BlockRef, int64, error) {
+func putObject(ctx context.Context, in protocol.Transfer, keys []string) (protocol.BlockRef, int64, error) {
 	var data []byte
 	for _, key := range keys {
-		data = append(data, kept(key, in.Bytes)...)
+		data = append(data, blockData(key, in.Bytes)...)
 	}
 	base := "http://" + in.Store + blocks.PathObjects
 	var name blocks.Name
@@ -165,7 +165,7 @@
 	if err != nil {
 		return protocol.BlockRef{}, 0, err
 	}
-	body, err := do(req.WithContext(ctx))
+	body, err := sendRequest(req.WithContext(ctx))
 	if err != nil {
 		return protocol.BlockRef{}, 0, err
 	}
@@ -179,7 +179,7 @@
 	if err != nil {
 		return protocol.BlockRef{}, 0, err
 	}
-	_, err = do(req.WithContext(ctx))
+	_, err = sendRequest(req.WithContext(ctx))
 	if err != nil {
 		return protocol.BlockRef{}, 0, err
 	}
@@ -188,7 +188,7 @@
 	if err != nil {
 		return protocol.BlockRef{}, 0, err
 	}
-	_, err = do(req.WithContext(ctx))
+	_, err = sendRequest(req.WithContext(ctx))
 	ref := protocol.BlockRef{Key: keys[len(keys)-1], Blocks: len(keys), Object: name.Object, Generation: name.Generation, Incarnation: name.Incarnation}
 	return ref, int64(len(data)), err
 }
